--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -119,10 +119,10 @@
 
     /// Chooses a target for a call and reserves a place there; [`Self::on_end`] releases it.
     pub fn choose(&mut self, now: Instant, plan: &Plan) -> Result<Ticket, NoChoice> {
-        let few = self.few_targets(now, plan);
-        let is_few = few.is_some();
+        let preselected = self.few_targets(now, plan);
+        let is_preselected = preselected.is_some();
         let mut weighed = 0;
-        let field = few.unwrap_or_else(|| self.all_targets(now, plan));
+        let field = preselected.unwrap_or_else(|| self.all_targets(now, plan));
         if field.targets.is_empty() {
             return Err(self.no_target(now, &plan.service));
         }
@@ -135,7 +135,7 @@
         let is_sound = found
             .as_ref()
             .is_ok_and(|(_, offer)| offer.standing < Standing::Suspected);
-        if is_few && !is_sound {
+        if is_preselected && !is_sound {
             let all = self.all_targets(now, plan);
             weighed += all.targets.len();
             found = self.look(now, plan, &all);
@@ -182,10 +182,10 @@
     /// Returns the preselected targets that are scored first when there are very many. Returns `None` if
     /// all targets are to be scored, or if none of the sample accepts calls.
     fn few_targets(&self, now: Instant, plan: &Plan) -> Option<Field> {
-        let few = self.discovery.pools().candidates(plan, &self.cache)?;
+        let preselected = self.discovery.pools().candidates(plan, &self.cache)?;
         let is_open = |t: &Rc<TargetRecord>| self.withdrawals.of(now, &t.id).is_none();
-        let mut targets = few.holding;
-        let mut sample = few.others;
+        let mut targets = preselected.holding;
+        let mut sample = preselected.others;
         targets.retain(is_open);
         sample.retain(is_open);
         let n = sample.len();
@@ -204,9 +204,9 @@
         field: &Field,
     ) -> Result<(Rc<TargetRecord>, Offer), NoChoice> {
         let targets = &field.targets;
-        let held = self.admission.room(now, &plan.service).held;
+        let slot_time = self.admission.room(now, &plan.service).held;
         let reach = Reach {
-            survival: Survival::new(self.load.age(now), held),
+            survival: Survival::new(self.load.age(now), slot_time),
             limit: self.admission.limit(&plan.service, plan.goal),
             least_missing: self.least_missing(now, plan),
             fetches: plan.engine.is_some_and(|e| e.moves),
@@ -300,13 +300,13 @@
     /// `NoTarget`, as the other reasons hold only for a while.
     fn no_target(&mut self, now: Instant, service: &ServiceName) -> NoChoice {
         let serving = self.discovery.serving(service);
-        let no = match self.withdrawals.none_of(now, serving) {
-            Some(no) if !serving.is_empty() => no,
+        let reason = match self.withdrawals.none_of(now, serving) {
+            Some(reason) if !serving.is_empty() => reason,
             _ if self.discovery.is_evacuated(service) => NoChoice::AllEvacuated,
             _ => return NoChoice::NoTarget,
         };
         self.admission.on_refused(now, service);
-        no
+        reason
     }
 
     /// Records that a target withdrew. Returns whether the target accepted calls until now, or is leaving
@@ -356,13 +356,13 @@
             self.cold.on_send(now, target);
         }
         self.health.on_send(now, target, !plan.prompt.is_empty());
-        let told = match is_first {
+        let announced = match is_first {
             true => plan.shared_parts().len(),
             false => plan.prompt.len().saturating_sub(1),
         };
         let memory = plan.engine.map_or(MEMORY_UNTOLD, |e| e.memory_tokens);
         if !plan.prompt.is_empty() {
-            self.cache.on_send(target, &plan.prompt, told, memory);
+            self.cache.on_send(target, &plan.prompt, announced, memory);
         }
     }
 
@@ -372,10 +372,16 @@
     /// be fetched within 35 s, in which a sixth of 240 engines went down once (counted from log lines of
     /// attempts).
     fn sources(&self, now: Instant, plan: &Plan) -> impl Iterator<Item = &Rc<TargetRecord>> {
-        let is_few = self.discovery.serving(&plan.service).len() >= MANY_TARGETS;
+        let has_many_targets = self.discovery.serving(&plan.service).len() >= MANY_TARGETS;
         let shares = !plan.shared_parts().is_empty();
-        let all = self.discovery.all().filter(move |_| shares && !is_few);
-        let holders = self.deepest_holders(plan).iter().filter(move |_| is_few);
+        let all = self
+            .discovery
+            .all()
+            .filter(move |_| shares && !has_many_targets);
+        let holders = self
+            .deepest_holders(plan)
+            .iter()
+            .filter(move |_| has_many_targets);
         let holders = holders.filter_map(|id| self.discovery.get(id));
         let service = plan.service.clone();
         all.chain(holders).filter(move |t| {
--- a/src/load_account.rs
+++ b/src/load_account.rs
@@ -211,10 +211,10 @@
     }
 
     /// Counts the calls that all routers together have in progress at the selected targets.
-    pub(crate) fn calls_at(&self, is_meant: impl Fn(&TargetHash) -> bool) -> u32 {
+    pub(crate) fn calls_at(&self, is_selected: impl Fn(&TargetHash) -> bool) -> u32 {
         let counted = self.own.iter().chain(&self.others);
-        let meant = counted.filter(|(target, _)| is_meant(target));
-        meant.map(|(_, work)| work.calls).sum()
+        let selected = counted.filter(|(target, _)| is_selected(target));
+        selected.map(|(_, work)| work.calls).sum()
     }
 
     /// Returns the calls at a target: the larger of the counts and the target's own recent report.
@@ -329,12 +329,12 @@
 
     /// Updates the average number of calls with the counts of other routers.
     fn average(&mut self, now: Instant) {
-        let passed = now.since(self.usual_at).as_secs_f64() / USUAL_OVER.as_secs_f64();
+        let elapsed = now.since(self.usual_at).as_secs_f64() / USUAL_OVER.as_secs_f64();
         self.usual_at = now;
-        let kept = (-passed).exp();
+        let decay = (-elapsed).exp();
         for (target, usual) in &mut self.usual {
             let calls = self.others.get(target).map_or(0, |w| w.calls);
-            *usual = f64::from(calls) * (1.0 - kept) + *usual * kept;
+            *usual = f64::from(calls) * (1.0 - decay) + *usual * decay;
         }
         for (target, work) in &self.others {
             let calls = f64::from(work.calls);
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -47,8 +47,8 @@
     pub(crate) fn add(&mut self, target: &Rc<TargetRecord>) {
         self.take(&target.id);
         let at = hash(&target.id);
-        let place = self.0.partition_point(|(hash, _)| *hash < at);
-        self.0.insert(place, (at, Rc::clone(target)));
+        let index = self.0.partition_point(|(hash, _)| *hash < at);
+        self.0.insert(index, (at, Rc::clone(target)));
     }
 
     /// Removes a target.
@@ -56,13 +56,13 @@
         let at = hash(id);
         let first = self.0.partition_point(|(hash, _)| *hash < at);
         let same = self.0[first..].iter().take_while(|(hash, _)| *hash == at);
-        let place = same.into_iter().position(|(_, t)| t.id == *id);
-        place.map(|i| self.0.remove(first + i));
+        let index = same.into_iter().position(|(_, t)| t.id == *id);
+        index.map(|i| self.0.remove(first + i));
     }
 
-    /// Returns the `turn`-th target that a key selects.
-    fn named(&self, key: u64, turn: u64) -> Option<&Rc<TargetRecord>> {
-        let at = xxh3_64_with_seed(&key.to_le_bytes(), turn);
+    /// Returns the `n`-th target that a key selects.
+    fn named(&self, key: u64, n: u64) -> Option<&Rc<TargetRecord>> {
+        let at = xxh3_64_with_seed(&key.to_le_bytes(), n);
         let next = self.0.partition_point(|(hash, _)| *hash < at);
         let next = self.0.get(next).or_else(|| self.0.first());
         next.map(|(_, target)| target)
@@ -95,13 +95,13 @@
         // each other's choices send an unread prompt to the same few targets.
         let deepest = plan.shared_parts().last();
         let is_unread = deepest.is_some_and(|part| cache.holders(part.id).is_empty());
-        let (holding, drawn) = match is_unread {
+        let (holding, sample_size) = match is_unread {
             true => (Vec::new(), 0),
             false => (holders(targets, plan, cache), DRAWN),
         };
-        let named = (0..NAMED as u64).filter_map(|turn| ring.named(plan.key(), turn));
-        let drawn = (0..drawn as u64).filter_map(|turn| ring.named(plan.hash, turn));
-        let mut others: Vec<Rc<TargetRecord>> = named.chain(drawn).cloned().collect();
+        let named = (0..NAMED as u64).filter_map(|n| ring.named(plan.key(), n));
+        let sampled = (0..sample_size as u64).filter_map(|n| ring.named(plan.hash, n));
+        let mut others: Vec<Rc<TargetRecord>> = named.chain(sampled).cloned().collect();
         others.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         others.dedup_by(|a, b| a.id == b.id);
         others.retain(|t| !holding.iter().any(|held| held.id == t.id));
@@ -119,16 +119,16 @@
     let mut found: Vec<Rc<TargetRecord>> = Vec::new();
     for part in plan.prompt.iter().rev() {
         let holders = cache.holders(part.id);
-        let left = HOLDERS - found.len();
-        let first = match holders.len() > left {
+        let remaining = HOLDERS - found.len();
+        let first = match holders.len() > remaining {
             true => plan.hash as usize % holders.len(),
             false => 0,
         };
-        let drawn = holders.iter().cycle().skip(first);
-        for id in drawn.take(left.min(holders.len())) {
-            let place = targets.binary_search_by(|t| t.id.cmp(id));
+        let selected = holders.iter().cycle().skip(first);
+        for id in selected.take(remaining.min(holders.len())) {
+            let index = targets.binary_search_by(|t| t.id.cmp(id));
             let is_found = found.iter().any(|t| t.id == *id);
-            if let (Ok(i), false) = (place, is_found) {
+            if let (Ok(i), false) = (index, is_found) {
                 found.push(Rc::clone(&targets[i]));
             }
         }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -207,26 +207,26 @@
     if untried.is_empty() {
         return Err(NoChoice::NoTarget);
     }
-    let of = |warmth: Warmth| {
-        let of_warmth = untried.iter().filter(|o| o.1.warmth == warmth);
-        of_warmth.copied().collect::<Vec<_>>()
+    let with_warmth = |warmth: Warmth| {
+        let matching = untried.iter().filter(|o| o.1.warmth == warmth);
+        matching.copied().collect::<Vec<_>>()
     };
     let loads: Vec<Load> = sample.iter().map(Offer::load).collect();
     let estimate = Estimate::new(&loads, wanted.survival);
     let bound = Bound::new(sample, wanted, estimate);
     let mut chosen = Err(NoChoice::AllCold);
-    for open in [of(Warmth::Warm), of(Warmth::Shared)] {
-        let roomy = match open.is_empty() {
+    for available in [with_warmth(Warmth::Warm), with_warmth(Warmth::Shared)] {
+        let with_room = match available.is_empty() {
             true => continue,
-            false => roomy(&open, wanted, &bound),
+            false => roomy(&available, wanted, &bound),
         };
-        let roomy = match roomy.is_empty() {
-            true => self::roomy(&open, wanted, &bound.of_estimates(sample)),
-            false => roomy,
+        let with_room = match with_room.is_empty() {
+            true => self::roomy(&available, wanted, &bound.of_estimates(sample)),
+            false => with_room,
         };
-        chosen = match roomy.is_empty() {
+        chosen = match with_room.is_empty() {
             true => Err(NoChoice::AllFull),
-            false => return Ok(best(&roomy, wanted, estimate)),
+            false => return Ok(best(&with_room, wanted, estimate)),
         };
     }
     chosen
@@ -234,18 +234,18 @@
 
 /// Returns the targets with room: only healthy ones if any of these has room, else all.
 fn roomy<'a>(
-    open: &[(usize, &'a Offer)],
+    available: &[(usize, &'a Offer)],
     wanted: &Wanted,
     bound: &Bound,
 ) -> Vec<(usize, &'a Offer)> {
-    let standing = best_standing(open, wanted.repeatable);
+    let standing = best_standing(available, wanted.repeatable);
     let has_room = |o: &&(usize, &Offer)| bound.has_room(o.1);
-    let sound = open.iter().filter(|o| o.1.standing <= standing);
-    let roomy: Vec<_> = sound.filter(has_room).copied().collect();
-    match roomy.is_empty() {
+    let sound = available.iter().filter(|o| o.1.standing <= standing);
+    let with_room: Vec<_> = sound.filter(has_room).copied().collect();
+    match with_room.is_empty() {
         // A suspect target is better than refusing the call.
-        true => open.iter().filter(has_room).copied().collect(),
-        false => roomy,
+        true => available.iter().filter(has_room).copied().collect(),
+        false => with_room,
     }
 }
 
@@ -290,35 +290,35 @@
     }
 
     fn has_room(&self, o: &Offer) -> bool {
-        let most = self.calls_a_slot * f64::from(o.slots) + BOUND_SLACK;
+        let max_calls = self.calls_a_slot * f64::from(o.slots) + BOUND_SLACK;
         let work = Tokens(o.backlog.0 + o.missing.0);
-        let beside_others = self.estimate.calls(o.load()) + self.shift;
-        let by_itself = self.estimate.calls_spread(o.load()) + self.shift - self.more;
-        beside_others < most
-            && (by_itself < f64::from(o.most_calls) || o.calls() == 0)
+        let relative_load = self.estimate.calls(o.load()) + self.shift;
+        let own_load = self.estimate.calls_spread(o.load()) + self.shift - self.more;
+        relative_load < max_calls
+            && (own_load < f64::from(o.most_calls) || o.calls() == 0)
             // A target without calls always accepts one.
-            && (o.calls() == 0 || o.most_tokens.is_none_or(|most| work <= most))
+            && (o.calls() == 0 || o.most_tokens.is_none_or(|max_tokens| work <= max_tokens))
     }
 }
 
 /// Returns the best standing among the targets, or `OnTrial` for calls that may try a suspect target.
-fn best_standing(open: &[(usize, &Offer)], repeatable: bool) -> Standing {
-    let best = open.iter().map(|o| o.1.standing).min();
+fn best_standing(available: &[(usize, &Offer)], repeatable: bool) -> Standing {
+    let best = available.iter().map(|o| o.1.standing).min();
     match best.unwrap_or_default() {
-        Standing::Well | Standing::Full if repeatable && on_trial(open) => Standing::OnTrial,
+        Standing::Well | Standing::Full if repeatable && on_trial(available) => Standing::OnTrial,
         best => best,
     }
 }
 
-fn on_trial(open: &[(usize, &Offer)]) -> bool {
-    open.iter().any(|o| o.1.standing == Standing::OnTrial)
+fn on_trial(available: &[(usize, &Offer)]) -> bool {
+    available.iter().any(|o| o.1.standing == Standing::OnTrial)
 }
 
-fn best(roomy: &[(usize, &Offer)], wanted: &Wanted, estimate: Estimate) -> usize {
-    let unread = !roomy.iter().any(|o| o.1.holds);
-    match unread && wanted.shared {
-        true => first_reader(roomy, wanted),
-        false => cheapest(roomy, wanted, estimate),
+fn best(with_room: &[(usize, &Offer)], wanted: &Wanted, estimate: Estimate) -> usize {
+    let is_unread = !with_room.iter().any(|o| o.1.holds);
+    match is_unread && wanted.shared {
+        true => first_reader(with_room, wanted),
+        false => cheapest(with_room, wanted, estimate),
     }
 }
 
@@ -327,44 +327,51 @@
 ///
 /// The number is small but more than one because many routers choose before they learn of each other's
 /// choices: prompts with the same beginning must not all go to one target.
-fn first_reader(roomy: &[(usize, &Offer)], wanted: &Wanted) -> usize {
-    let n = roomy.len() as f64;
-    let kept = roomy.iter().map(|o| o.1.kept.0 as f64).sum::<f64>() / n;
-    let calls = roomy.iter().map(|o| f64::from(o.1.calls())).sum::<f64>() / n;
+fn first_reader(with_room: &[(usize, &Offer)], wanted: &Wanted) -> usize {
+    let n = with_room.len() as f64;
+    let mean_cached = with_room.iter().map(|o| o.1.kept.0 as f64).sum::<f64>() / n;
+    let calls = with_room
+        .iter()
+        .map(|o| f64::from(o.1.calls()))
+        .sum::<f64>()
+        / n;
     let cost = |o: &Offer| {
-        let more_kept = (o.kept.0 as f64 - kept - KEPT_SLACK).max(0.0);
-        let more_calls = (f64::from(o.calls()) - calls - CALLS_SLACK).max(0.0);
-        o.missing.0 as f64 + o.backlog.0 as f64 + more_kept + more_calls * CALL_TOKENS
+        let excess_cached = (o.kept.0 as f64 - mean_cached - KEPT_SLACK).max(0.0);
+        let excess_calls = (f64::from(o.calls()) - calls - CALLS_SLACK).max(0.0);
+        o.missing.0 as f64 + o.backlog.0 as f64 + excess_cached + excess_calls * CALL_TOKENS
     };
-    let mut named = roomy.to_vec();
-    named.sort_unstable_by_key(|o| std::cmp::Reverse(draw(wanted.key, &o.1.target)));
-    named.truncate(READERS_NAMED);
-    least(&named, wanted.key, cost)
+    let mut candidates = with_room.to_vec();
+    candidates.sort_unstable_by_key(|o| std::cmp::Reverse(draw(wanted.key, &o.1.target)));
+    candidates.truncate(READERS_NAMED);
+    least(&candidates, wanted.key, cost)
 }
 
 /// Chooses one of the cheapest targets at random, with a probability that depends on its room.
-fn cheapest(roomy: &[(usize, &Offer)], wanted: &Wanted, estimate: Estimate) -> usize {
-    let loads: Vec<Load> = roomy.iter().map(|o| o.1.load()).collect();
+fn cheapest(with_room: &[(usize, &Offer)], wanted: &Wanted, estimate: Estimate) -> usize {
+    let loads: Vec<Load> = with_room.iter().map(|o| o.1.load()).collect();
     let spread = Spread::new(&loads, estimate);
-    let costs: Vec<f64> = roomy.iter().map(|o| cost(o.1, wanted, &spread)).collect();
+    let costs: Vec<f64> = with_room
+        .iter()
+        .map(|o| cost(o.1, wanted, &spread))
+        .collect();
     let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
     let score = |(o, cost): (&(usize, &Offer), &f64)| {
         let chance = spread.chance(o.1.load(), cost - least);
         (chance + gumbel(wanted.draw(o.1)), o.0)
     };
-    let scores = roomy.iter().zip(&costs).map(score);
+    let scores = with_room.iter().zip(&costs).map(score);
     scores
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map_or(0, |best| best.1)
 }
 
 /// Returns the index of the target with the lowest cost; rendezvous hashing on `key` breaks ties.
-fn least(roomy: &[(usize, &Offer)], key: u64, cost: impl Fn(&Offer) -> f64) -> usize {
+fn least(with_room: &[(usize, &Offer)], key: u64, cost: impl Fn(&Offer) -> f64) -> usize {
     let by_cost = |a: &&(usize, &Offer), b: &&(usize, &Offer)| {
         let tie = || draw(key, &b.1.target).cmp(&draw(key, &a.1.target));
         cost(a.1).total_cmp(&cost(b.1)).then_with(tie)
     };
-    roomy.iter().min_by(by_cost).map_or(0, |o| o.0)
+    with_room.iter().min_by(by_cost).map_or(0, |o| o.0)
 }
 
 /// Computes the cost of a target, in calls.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -28,6 +28,6 @@
 }
 
 fn compare(key: u64, a: &VmId, b: &VmId) -> Ordering {
-    let of = |vm: &VmId| xxh3_64_with_seed(vm.as_str().as_bytes(), key);
-    of(a).cmp(&of(b)).then_with(|| a.cmp(b))
+    let hash = |vm: &VmId| xxh3_64_with_seed(vm.as_str().as_bytes(), key);
+    hash(a).cmp(&hash(b)).then_with(|| a.cmp(b))
 }
--- a/src/placement/spread.rs
+++ b/src/placement/spread.rs
@@ -33,15 +33,16 @@
 pub struct Survival(f64);
 
 impl Survival {
-    /// Computes the fraction for counts of age `age` if calls hold a slot for `held`. While `held` is
-    /// unknown, it is zero for old counts, so that routers that have just started spread their calls.
-    pub fn new(age: Duration, held: Option<Duration>) -> Self {
-        match held {
+    /// Computes the fraction for counts of age `age` if calls hold a slot for `slot_time`. While
+    /// `slot_time` is unknown, it is zero for old counts, so that routers that have just started spread
+    /// their calls.
+    pub fn new(age: Duration, slot_time: Option<Duration>) -> Self {
+        match slot_time {
             _ if age.is_zero() => Self(1.0),
             None => Self(0.0),
-            Some(held) => {
-                let held = held.as_secs_f64().max(f64::EPSILON);
-                Self((-age.as_secs_f64() / held).exp())
+            Some(slot_time) => {
+                let slot_time = slot_time.as_secs_f64().max(f64::EPSILON);
+                Self((-age.as_secs_f64() / slot_time).exp())
             }
         }
     }
@@ -70,9 +71,9 @@
     if !loads.iter().any(is_beyond) {
         return loads.iter().map(calls).sum();
     }
-    let middle = median(loads.iter().map(&calls).collect());
-    let most = |l: &Load| f64::from(l.most_calls).max(middle * HUNG_FACTOR);
-    loads.iter().map(|l| calls(l).min(most(l))).sum()
+    let median_calls = median(loads.iter().map(&calls).collect());
+    let cap = |l: &Load| f64::from(l.most_calls).max(median_calls * HUNG_FACTOR);
+    loads.iter().map(|l| calls(l).min(cap(l))).sum()
 }
 
 /// Returns the median, or zero if there are no values.
@@ -158,11 +159,11 @@
     /// Computes the level from the targets that may be chosen.
     pub(super) fn new(loads: &[Load], estimate: Estimate) -> Self {
         let others: f64 = loads.iter().map(|l| f64::from(l.counts.others)).sum();
-        let came = others - estimate.survival.of(others);
+        let new_calls = others - estimate.survival.of(others);
         let left = loads.iter().map(|l| (estimate.left(*l), l.slots));
         Self {
             estimate,
-            level: level(left.collect(), came),
+            level: level(left.collect(), new_calls),
         }
     }
 
--- a/src/pools.rs
+++ b/src/pools.rs
@@ -52,10 +52,10 @@
         let Ok(i) = self.place(id) else {
             return;
         };
-        let taken = self.targets.remove(i);
-        self.slots -= u64::from(taken.slots);
-        self.ring.take(&taken.id);
-        self.hashes.remove(&(&taken.id).into());
+        let removed = self.targets.remove(i);
+        self.slots -= u64::from(removed.slots);
+        self.ring.take(&removed.id);
+        self.hashes.remove(&(&removed.id).into());
     }
 }
 
--- a/src/prompt_cache.rs
+++ b/src/prompt_cache.rs
@@ -88,24 +88,24 @@
         self.holders.get(&part).map_or(&[], Vec::as_slice)
     }
 
-    /// Records that a prompt was sent to a target. The first `told` parts are announced to peers if they
-    /// are new.
+    /// Records that a prompt was sent to a target. `announced` is the number of leading parts that are
+    /// announced to peers if they are new.
     pub fn on_send(
         &mut self,
         target: &TargetId,
         prompt: &[PromptPart],
-        told: usize,
+        announced: usize,
         memory_tokens: u64,
     ) {
         let memory = self.targets.entry(target.clone()).or_default();
         for (i, part) in prompt.iter().enumerate() {
-            let is_told = i < told;
-            let is_new = memory.hold(*part, is_told);
+            let is_announced = i < announced;
+            let is_new = memory.hold(*part, is_announced);
             if is_new {
                 let holders = self.holders.entry(part.id).or_default();
                 holders.push(target.clone());
             }
-            if is_new && is_told {
+            if is_new && is_announced {
                 self.news.push_back((part.id, part.tokens, target.clone()));
                 self.unsaved = true;
             }
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Records that a peer sent a part to a target. `passed_on` tells whether this router has to announce
+    /// Records that a peer sent a part to a target. `forward` tells whether this router has to announce
     /// it to other peers.
-    pub fn on_peer(&mut self, target: &TargetId, part: PromptPart, passed_on: bool) {
+    pub fn on_peer(&mut self, target: &TargetId, part: PromptPart, forward: bool) {
         let memory = self.targets.entry(target.clone()).or_default();
         let is_new = memory.hold(part, true);
         self.unsaved |= is_new;
@@ -129,7 +129,7 @@
             let holders = self.holders.entry(part.id).or_default();
             holders.push(target.clone());
         }
-        if is_new && passed_on {
+        if is_new && forward {
             self.news.push_back((part.id, part.tokens, target.clone()));
         }
     }
@@ -167,10 +167,10 @@
         std::mem::take(&mut self.unsaved)
     }
 
-    /// Takes up to `most` new parts from the queue, to announce them to peers. A router that is `young`
+    /// Takes up to `limit` new parts from the queue, to announce them to peers. A router that is `young`
     /// remembers them for [`Self::tell_again`].
-    pub fn take_news(&mut self, most: usize, young: bool) -> Vec<News> {
-        let n = self.news.len().min(most);
+    pub fn take_news(&mut self, limit: usize, young: bool) -> Vec<News> {
+        let n = self.news.len().min(limit);
         let news: Vec<News> = self.news.drain(..n).collect();
         if young && self.told.len() < NEWS_LIMIT {
             self.told.extend_from_slice(&news);
@@ -188,8 +188,8 @@
     pub fn shared_parts(&self) -> Vec<News> {
         let of_target = |(target, memory): (&TargetId, &Memory)| {
             let shared = memory.parts.iter().rev().filter(|(_, held)| held.shared);
-            let told = shared.map(|(id, held)| (*id, held.tokens, target.clone()));
-            told.collect::<Vec<_>>()
+            let announced = shared.map(|(id, held)| (*id, held.tokens, target.clone()));
+            announced.collect::<Vec<_>>()
         };
         self.targets.iter().flat_map(of_target).collect()
     }
--- a/src/prompt_snapshot.rs
+++ b/src/prompt_snapshot.rs
@@ -36,12 +36,12 @@
 
 impl PromptSnapshot {
     /// Builds a snapshot from the parts held by targets; the order of each target's parts is kept.
-    pub fn new(held: &[News]) -> Self {
+    pub fn new(entries: &[News]) -> Self {
         let mut snapshot = Self::default();
-        let mut places: HashMap<PartId, u32> = HashMap::new();
+        let mut indexes: HashMap<PartId, u32> = HashMap::new();
         let mut targets: HashMap<&TargetId, usize> = HashMap::new();
-        for (id, tokens, target) in held {
-            let place = *places.entry(*id).or_insert_with(|| {
+        for (id, tokens, target) in entries {
+            let index = *indexes.entry(*id).or_insert_with(|| {
                 let tokens = *tokens;
                 snapshot.parts.push(Part { id: id.0, tokens });
                 snapshot.parts.len() as u32 - 1
@@ -50,15 +50,15 @@
                 snapshot.targets.push((target.clone(), Vec::new()));
                 snapshot.targets.len() - 1
             });
-            snapshot.targets[i].1.push(place);
+            snapshot.targets[i].1.push(index);
         }
         snapshot
     }
 
     /// Iterates over all parts at all targets; indexes without a part are skipped.
     pub fn held(&self) -> impl Iterator<Item = News> + '_ {
-        self.targets.iter().flat_map(move |(target, places)| {
-            let parts = places.iter().filter_map(|n| self.parts.get(*n as usize));
+        self.targets.iter().flat_map(move |(target, indexes)| {
+            let parts = indexes.iter().filter_map(|n| self.parts.get(*n as usize));
             parts.map(move |p| (PartId(p.id), p.tokens, target.clone()))
         })
     }
