--- a/src/admission/account_rates.rs
+++ b/src/admission/account_rates.rs
@@ -1,8 +1,10 @@
-//! What client accounts send over all routers, in calls a second, as routers report it to one another.
+//! Call rates of client accounts across all routers, in calls per second, as routers report them to
+//! one another.
 //!
-//! The load pattern that this answers: one account floods a service through hundreds of routers, each of
-//! which sees four or five of its calls a second and can't tell them from chance. Each router reports
-//! what it sees to the hubs, a hub reports the sum of its data hall, and all know what each account sends.
+//! Guards against one account that floods a service through hundreds of routers: each router sees
+//! four or five of its calls per second and cannot distinguish them from chance. Each router
+//! therefore reports the rates that it sees to the hubs, a hub reports the sum of its data hall,
+//! and every router knows the rate of each account across the fleet.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,20 +19,26 @@
     units::Instant,
 };
 
-/// How often rates are reported: a quarter of the time over which a rate is taken, as they go through two hubs.
+/// Interval between rate reports: a quarter of the time constant of a rate, because reports pass
+/// through two hubs.
 pub const REPORT_RATES_EVERY: Duration = Duration::from_millis(500);
 
-/// How long a router or a data hall counts after its last report: two that were lost and some delay.
+/// Time after which the last report of a router or a data hall expires; covers two lost reports and
+/// some delay.
 const EXPIRES: Duration = Duration::from_millis(3_500);
 
-/// The accounts that one router or hub reports, those that send most: one that surges is among them.
+/// Maximum number of accounts in one report. The accounts with the highest rates are reported, so
+/// that an account that surges is among them.
 const ACCOUNTS_REPORTED: usize = 32;
 
-/// Steps of a call a second in which rates are reported: a rate below a tenth is as good as none.
+/// Units of a reported rate per call per second; rates below a tenth of a call per second are
+/// negligible.
 const UNITS_A_CALL: f64 = 10.0;
 
-/// An account's name as a short hash: of some hundred accounts two share one less than once in ten thousand
-/// fleets, and then count as one.
+/// Short hash of an account's name.
+///
+/// Among some hundred accounts, two have the same hash in fewer than one in ten thousand fleets;
+/// they are then counted as one account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AccountHash(u32);
@@ -41,17 +49,17 @@
     }
 }
 
-/// Rates of accounts, in tenths of calls a second.
+/// Rates of accounts, in tenths of a call per second.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountRates {
-    /// Of all accounts together.
+    /// Total rate of all accounts.
     all: u32,
-    /// Of those that send most.
+    /// Rates of the accounts that send the most, highest first.
     most: Vec<(AccountHash, u32)>,
 }
 
 impl AccountRates {
-    /// Of calls a second by account.
+    /// Creates the report from the calls per second of each account.
     pub fn new(rates: &HashMap<AccountHash, f64>) -> Self {
         let tenths = |rate: f64| (rate * UNITS_A_CALL).round() as u32;
         let steps = rates
@@ -66,12 +74,12 @@
         }
     }
 
-    /// Calls a second of all accounts together.
+    /// Returns the total rate of all accounts, in calls per second.
     pub fn all(&self) -> f64 {
         f64::from(self.all) / UNITS_A_CALL
     }
 
-    /// Each account with its calls a second.
+    /// Iterates over the reported accounts and their rates in calls per second.
     pub fn iter(&self) -> impl Iterator<Item = (AccountHash, f64)> {
         let rate =
             |(account, tenths): &(AccountHash, u32)| (*account, f64::from(*tenths) / UNITS_A_CALL);
@@ -79,16 +87,16 @@
     }
 }
 
-/// A report of rates as it travels.
+/// Rates of accounts as they are sent to other routers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateReport {
-    /// Of the calls that the sender took.
+    /// Rates of the calls that the sender received.
     Router(AccountRates),
-    /// Of the calls that all routers of a data hall took.
+    /// Rates of the calls that all routers of a data hall received.
     Hall(DataHall, AccountRates),
 }
 
-/// What other routers reported of accounts.
+/// Rates of accounts as reported by other routers.
 #[derive(Debug)]
 pub(super) struct RatesOfOthers {
     hall: DataHall,
@@ -96,7 +104,7 @@
     halls: BTreeMap<DataHall, (Instant, AccountRates)>,
 }
 
-/// A sum of rates, in calls a second.
+/// Sum of several reports, in calls per second.
 #[derive(Debug, Default)]
 pub(super) struct RateSum {
     pub(super) all: f64,
@@ -121,7 +129,7 @@
         }
     }
 
-    /// A report came from a router.
+    /// Stores a report that a router sent.
     pub(super) fn on_report(
         &mut self,
         now: Instant,
@@ -139,13 +147,16 @@
         }
     }
 
-    /// Forgets whoever is silent.
+    /// Drops the reports of routers and data halls that have expired.
     pub(super) fn on_tick(&mut self, now: Instant) {
         self.routers.retain(|_, (at, ..)| now.since(*at) < EXPIRES);
         self.halls.retain(|_, (at, _)| now.since(*at) < EXPIRES);
     }
 
-    /// What all routers took, with this router's own.
+    /// Returns the rates of the whole fleet, including this router's own rates.
+    ///
+    /// Uses the sum of a data hall where a hub has reported it, and the reports of single routers
+    /// elsewhere.
     pub(super) fn of_fleet(&self, own: &AccountRates) -> RateSum {
         let mut sum = RateSum::default();
         for (_, rates) in self.halls.values() {
@@ -163,7 +174,7 @@
         sum
     }
 
-    /// What all routers of this data hall took, to be reported as a hub.
+    /// Returns the rates of all routers of this data hall, which this router reports as a hub.
     pub(super) fn of_own_hall(&self, own: &AccountRates) -> AccountRates {
         let mut sum = RateSum::default();
         sum.add(own);
@@ -175,7 +186,7 @@
         AccountRates::new(&sum.accounts)
     }
 
-    /// What was reported of the other data halls.
+    /// Iterates over the rates reported for the other data halls.
     pub(super) fn of_other_halls(&self) -> impl Iterator<Item = (&DataHall, &AccountRates)> {
         let others = self.halls.iter().filter(|(hall, _)| **hall != self.hall);
         others.map(|(hall, (_, rates))| (hall, rates))
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,8 +1,9 @@
-//! How many calls each target may have in progress, and when a caller that finds no room should come
-//! back.
+//! Admission control: how many calls each target may have in progress, and when a caller that is
+//! refused for lack of capacity should retry.
 //!
-//! Synchronous decisions: time and events come as arguments, the input and output around them are in
-//! [`crate::edge`]. What a target can take is learned from calls that it answered, never configured.
+//! Decisions are synchronous: time and events are arguments, and [`crate::edge`] does the input and
+//! output. The capacity of targets is never configured; it is learned from the calls that they
+//! answered.
 
 pub mod account_rates;
 mod limit;
@@ -26,32 +27,32 @@
     units::Instant,
 };
 
-/// What was learned of one service's targets.
+/// Observations of one service's targets.
 #[derive(Debug, Default)]
 struct Pool {
     occupancy: Occupancy,
     shortage: Shortage,
 }
 
-/// What is believed of a service's room.
+/// Estimate of a service's capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Room {
-    /// How long a call holds a slot; `None` before any did.
+    /// Mean time for which a call occupies a slot; `None` before the first call.
     pub held: Option<Duration>,
-    /// For how long calls have found no room; `None` where they do.
+    /// Time for which calls have been refused for lack of capacity; `None` if there is no shortage.
     pub short_for: Option<Duration>,
 }
 
-/// Rates of accounts as a hub reports them.
+/// Rates of accounts that a hub reports.
 #[derive(Debug, Default)]
 pub struct HallRates {
-    /// To routers of its own data hall.
+    /// Reports to the routers of its own data hall.
     pub near: Vec<RateReport>,
-    /// To hubs of the others.
+    /// Reports to the hubs of the other data halls.
     pub far: Vec<RateReport>,
 }
 
-/// What was learned of all services.
+/// Admission state of all services.
 #[derive(Debug)]
 pub struct Admission {
     pools: HashMap<ServiceName, Pool>,
@@ -60,7 +61,7 @@
 }
 
 impl Admission {
-    /// Of a router in this data hall, which knows nothing yet.
+    /// Creates the state of a router in `hall`, without any observations.
     pub fn new(hall: DataHall) -> Self {
         Self {
             pools: HashMap::new(),
@@ -69,12 +70,14 @@
         }
     }
 
-    /// Rates of accounts to report to the hubs, or to all peers of a small fleet.
+    /// Returns the rates of accounts that this router reports to the hubs, or to all peers of a
+    /// small fleet.
     pub fn own_rates(&self, now: Instant) -> RateReport {
         RateReport::Router(self.surges.own_rates(now))
     }
 
-    /// Rates of accounts to report as a hub: of its data hall, and for routers of that one also of the others.
+    /// Returns the rates of accounts that this router reports as a hub: to all receivers the rates
+    /// of its data hall, and to routers of its data hall also the rates of the other data halls.
     pub fn hall_rates(&self, now: Instant, hall: &DataHall) -> HallRates {
         let own: AccountRates = self.others.of_own_hall(&self.surges.own_rates(now));
         let own = RateReport::Hall(hall.clone(), own);
@@ -86,36 +89,41 @@
         }
     }
 
-    /// Another router reported rates of accounts.
+    /// Stores the rates of accounts that another router reported.
     pub fn on_rates(&mut self, now: Instant, vm: &VmId, hall: &DataHall, reports: Vec<RateReport>) {
         for report in reports {
             self.others.on_report(now, vm.clone(), hall, report);
         }
     }
 
-    /// Takes in what all routers reported of accounts.
+    /// Drops expired reports and updates the rates of accounts across the fleet.
     pub fn on_tick(&mut self, now: Instant) {
         self.others.on_tick(now);
         let sum = self.others.of_fleet(&self.surges.own_rates(now));
         self.surges.on_fleet(now, &sum);
     }
 
-    /// How many calls a target of the service may have in progress, where `goal` is the shortest
-    /// time in which any kind of call at the service should be answered.
+    /// Returns the limit on calls in progress at each target of the service.
+    ///
+    /// `goal` is the shortest time within which any kind of call of the service should be answered.
     pub fn limit(&self, service: &ServiceName, goal: Duration) -> CallLimit {
         let mean = self.pools.get(service).and_then(|p| p.occupancy.mean());
         CallLimit::new(goal, mean)
     }
 
-    /// An account sent a call; returns whether it sends many times its usual, while others do not.
+    /// Counts a call of an account; returns whether the account sends many times its usual rate
+    /// while others do not.
     pub fn on_call(&mut self, now: Instant, account: &ClientAccountId) -> Surge {
         self.surges.on_call(now, account)
     }
 
-    /// Whether a call may look for room: in a shortage an account that surges gets what it may usually have
-    /// and some times more, as slots that are left to others are taken before counts of them arrive. `draw`
-    /// from 0 to 1 decides between its calls. With 30 times the usual of one account in ten before 295 routers
-    /// 0.15 of the others' calls were in time, and more than half of them with it (`tests/load/stale_counts.rs`).
+    /// Returns whether a call may be placed at a target.
+    ///
+    /// In a shortage, a surging account gets its usual rate multiplied by a small factor, because
+    /// slots reserved for other accounts are taken before the counts of these calls arrive. `draw`,
+    /// from 0 to 1, selects among the account's calls. When one account in ten sent 30 times its
+    /// usual rate to 295 routers, 0.15 of the other accounts' calls were answered in time without
+    /// this rule and more than half of them with it (`tests/load/stale_counts.rs`).
     pub fn lets_in(&self, now: Instant, service: &ServiceName, surge: Surge, draw: f64) -> bool {
         let is_short = self.room(now, service).short_for.is_some();
         match surge {
@@ -124,24 +132,28 @@
         }
     }
 
-    /// A call that did not queue at its target held a slot there for so long.
+    /// Records the time for which a call occupied a slot at its target, without time in the
+    /// target's queue.
     pub fn on_held(&mut self, service: &ServiceName, held: Duration) {
         self.pool(service).occupancy.on_held(held);
     }
 
-    /// Calls held a slot for so long before this router's life. One that starts while all targets are flooded
-    /// learns nothing for seconds, as only calls that did not queue tell, and takes targets for full that are
-    /// not.
+    /// Restores the mean time for which calls occupied a slot, as known before this router
+    /// restarted.
+    ///
+    /// Only calls that did not queue contribute to the mean at once. A router that starts while all
+    /// targets are flooded therefore learns nothing for seconds, and treats targets as full that
+    /// are not.
     pub fn on_recalled(&mut self, service: &ServiceName, held: Duration) {
         self.pool(service).occupancy.on_recalled(held);
     }
 
-    /// A call found no target with room.
+    /// Records that a call was refused because no target had capacity.
     pub fn on_refused(&mut self, now: Instant, service: &ServiceName) {
         self.pool(service).shortage.on_refused(now);
     }
 
-    /// What is believed of a service's room.
+    /// Returns the estimate of a service's capacity.
     pub fn room(&self, now: Instant, service: &ServiceName) -> Room {
         let pool = self.pools.get(service);
         Room {
@@ -150,14 +162,17 @@
         }
     }
 
-    /// How long calls hold a slot, by service, as far as that is learned.
+    /// Iterates over the services and the mean time for which their calls occupy a slot, where it
+    /// is known.
     pub fn learned(&self) -> impl Iterator<Item = (&ServiceName, Duration)> {
         let learned = |(service, pool): (_, &Pool)| Some((service, pool.occupancy.mean()?));
         self.pools.iter().filter_map(learned)
     }
 
-    /// When a refused caller should come back that waits for `left` in all; `draw` from 0 to 1 spreads
-    /// callers that were refused together.
+    /// Returns the delay after which a refused caller should retry.
+    ///
+    /// `left` is the total time for which the caller waits. `draw`, from 0 to 1, spreads callers
+    /// that were refused together.
     pub fn come_back(
         &self,
         now: Instant,
@@ -170,8 +185,10 @@
         shortage::come_back(lasts.max(room.held.unwrap_or_default()), left, draw)
     }
 
-    /// When a caller should come back that found a router without a configuration, which started `age`
-    /// ago.
+    /// Returns the delay after which a caller should retry that reached a router without a
+    /// configuration.
+    ///
+    /// The router started `age` ago.
     pub fn come_back_to_start(&self, age: Duration, left: Duration, draw: f64) -> Duration {
         shortage::come_back(start::expected_at(age), left, draw)
     }
--- a/src/admission/shortage.rs
+++ b/src/admission/shortage.rs
@@ -1,27 +1,31 @@
-//! How long a service has had no room, and what to say to callers meanwhile.
+//! Duration of a service's capacity shortage, and the delay after which refused callers should
+//! retry.
 //!
-//! The load pattern that this answers: a surge of some seconds before callers that try once more only.
-//! One that comes back within the surge is refused again and lost: 0.8 of the callers that are asked back
-//! after 0.14 s, fewer than 0.6 of those that are asked back as here (`tests/load/overload.rs`, three seeds).
+//! Guards against a surge of some seconds whose callers retry only once. A caller that retries
+//! within the surge is refused again and lost: 0.8 of the callers that are told to retry after 0.14
+//! s, and fewer than 0.6 of those with the delays computed here (`tests/load/overload.rs`, three
+//! seeds).
 
 use std::time::Duration;
 
 use crate::units::Instant;
 
-/// A refusal that comes so long after the one before begins a new shortage.
+/// Time without refusals after which the next refusal begins a new shortage.
 const CALM: Duration = Duration::from_secs(1);
 
-/// What a shortage that has just begun is expected to last: the shortest surges of the users' sheets.
+/// Expected duration of a shortage that has just begun: that of the shortest surges in the users'
+/// workload sheets.
 const SHORTEST: Duration = Duration::from_secs(3);
 
-/// The part of a caller's time that it may be asked to stay away: a call that comes back then still has
-/// most of its time, and the users' callers heed no more (PROTOCOL).
+/// Maximum retry delay as a fraction of the time for which a caller waits. A caller that retries
+/// then still has most of its time, and the users' callers do not honour longer delays (see
+/// PROTOCOL).
 const HEEDED_PART: f64 = 1.0 / 3.0;
 
-/// The part of the pause over which callers are spread that were refused together.
+/// Fraction of the delay over which callers that were refused together are spread.
 const SPREAD: f64 = 0.4;
 
-/// A run of refusals.
+/// Tracks the current run of refusals.
 #[derive(Debug, Default)]
 pub(super) struct Shortage {
     run: Option<Run>,
@@ -34,7 +38,7 @@
 }
 
 impl Shortage {
-    /// A call found no room.
+    /// Records that a call was refused for lack of capacity.
     pub(super) fn on_refused(&mut self, now: Instant) {
         match &mut self.run {
             Some(run) if now.since(run.last) < CALM => run.last = now,
@@ -47,21 +51,24 @@
         }
     }
 
-    /// For how long calls have been refused; `None` where none was within [`CALM`].
+    /// Returns the time for which calls have been refused; `None` if the last refusal is at least
+    /// [`CALM`] ago.
     pub(super) fn age(&self, now: Instant) -> Option<Duration> {
         let run = self.run.as_ref()?;
         (now.since(run.last) < CALM).then(|| now.since(run.since))
     }
 }
 
-/// How much longer a shortage of this age is expected to last. Of a surge nothing is known but its age,
-/// and the longer one has lasted the longer it is likely to go on (the mean residual life of a Lomax
-/// distribution of shape 2).
+/// Returns the expected remaining duration of a shortage of this age.
+///
+/// Only the age of a surge is known, and the longer a surge has lasted, the longer it is likely to
+/// continue (the mean residual life of a Lomax distribution of shape 2).
 pub(super) fn expected_at(age: Duration) -> Duration {
     SHORTEST + age
 }
 
-/// The pause for a caller that waits for `left` in all, where room is expected after `lasts`.
+/// Computes the retry delay of a caller that waits for `left` in total, when capacity is expected
+/// after `lasts`.
 pub(super) fn come_back(lasts: Duration, left: Duration, draw: f64) -> Duration {
     let pause = lasts.min(left.mul_f64(HEEDED_PART));
     pause.mul_f64(1.0 - SPREAD * draw.clamp(0.0, 1.0))
--- a/src/admission/start.rs
+++ b/src/admission/start.rs
@@ -1,23 +1,25 @@
-//! Calls that reach a router before its first configuration.
+//! Handling of calls that reach a router before its first configuration.
 //!
-//! The load pattern that this answers: all routers were lost, and callers that were cut off or never
-//! connected come the moment that new ones listen, which have yet to read the store. With the wait 0.007
-//! of the calls of 44 seconds around such a loss are refused, without it 0.018 (mean of six seeds).
+//! Guards against the loss of all routers: callers that were disconnected or never connected arrive
+//! as soon as new routers listen, and these have yet to read the store. With the wait 0.007 of the
+//! calls of the 44 seconds around such a loss are refused, without it 0.018 (mean of six seeds).
 
 use std::time::Duration;
 
-/// How long after its start a router may expect its first configuration soon: the store answers the
-/// first call within a tenth of a second, or the second one after a pause of 0.3 s.
+/// Time after its start within which a router expects its first configuration: the store answers
+/// the first read within a tenth of a second, or the second read after a pause of 0.3 s.
 const SOON: Duration = Duration::from_secs(1);
 
-/// The part of a caller's time that a call waits at most: what is left is enough for any call.
+/// Maximum wait of a call as a fraction of the time for which its caller waits; the rest is enough
+/// for any call.
 const WAITED_PART: f64 = 1.0 / 8.0;
 
-/// The longest wait.
+/// Maximum wait of a call for the first configuration.
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
 
-/// How long a call may wait for the first configuration of a router that started `age` ago; `None` if
-/// it should be refused at once, as none is expected soon.
+/// Returns how long a call may wait for the first configuration of a router that started `age` ago.
+///
+/// Returns `None` if no configuration is expected soon, so that the call should be refused at once.
 pub fn wait_for_config(age: Duration, deadline: Option<Duration>) -> Option<Duration> {
     let longest = match deadline {
         Some(deadline) => deadline.mul_f64(WAITED_PART).min(LONGEST_WAIT),
@@ -26,8 +28,8 @@
     (age < SOON).then(|| longest.min(SOON.saturating_sub(age)))
 }
 
-/// When the first configuration of such a router is expected: soon, or if it is late already, after as
-/// long again.
+/// Returns the expected time until the first configuration of a router that started `age` ago:
+/// [`SOON`], or if that has passed, as long again as the router has run.
 pub(super) fn expected_at(age: Duration) -> Duration {
     age.max(SOON)
 }
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -1,44 +1,50 @@
-//! Which client accounts send many times their usual.
+//! Detects client accounts that send many times their usual rate.
 //!
-//! The load pattern that this answers: one account floods a service, and all others would be refused
-//! as often as it is. Where everybody sends more than usual, nobody surges.
+//! Guards against one account that floods a service, whereupon calls of all other accounts would be
+//! refused as often as its own. When all accounts send more than usual, none of them surges.
 
 use std::{collections::HashMap, time::Duration};
 
 use super::account_rates::{AccountHash, AccountRates, RateSum};
 use crate::{ids::ClientAccountId, units::Instant};
 
-/// The time constant of the present rate: long enough for some calls of a small account at one router.
+/// Time constant of the current rate: long enough for several calls of a small account at one
+/// router.
 const PRESENT: Duration = Duration::from_secs(2);
 
-/// The time constant of the usual rate.
+/// Time constant of the usual rate.
 const USUAL: Duration = Duration::from_secs(30);
 
-/// The time in which the usual rate may double at most: a surge of the users' sheets (3 to 7 s) hardly
-/// counts as usual before it ends, and an account that has grown for good does after half a minute.
+/// Minimum time in which the usual rate may double. A surge of the users' workload sheets (3 to 7
+/// s) hardly changes the usual rate before it ends; permanent growth of an account counts as usual
+/// after half a minute.
 const USUAL_DOUBLES: Duration = Duration::from_secs(10);
 
-/// How long an account has to be known before its rate counts as usual.
+/// Minimum time for which an account is observed before its rate counts as usual.
 const KNOWN_FOR: Duration = Duration::from_secs(5);
 
-/// How many times as much more than usual as all others together an account has to send.
+/// Factor by which an account's growth over its usual rate must exceed that of all other accounts
+/// together for it to surge.
 const MANY_TIMES: f64 = 3.0;
 
-/// The least part of an account's calls that is let in, so that none is served less than a quarter as often as
-/// all. With 0.25 in place of 0.1 a surge of 30 times the usual leaves 0.39 of the others' calls in time, with
-/// 0.1 0.47 (`tests/load/stale_counts.rs`, 295 routers, before calls of such accounts kept below the limit).
+/// Minimum fraction of an account's calls that is admitted, so that no account is served less than
+/// a quarter as often as all accounts.
+///
+/// With 0.25 instead of 0.1, a surge of 30 times the usual rate leaves 0.39 of the other accounts'
+/// calls answered in time, with 0.1 it leaves 0.47 (`tests/load/stale_counts.rs`, 295 routers,
+/// before calls of surging accounts stayed below the limit).
 const LEAST_LET_IN: f64 = 0.1;
 
-/// Calls within [`PRESENT`] below which no account surges: fewer may be chance.
+/// Minimum number of calls within [`PRESENT`] for an account to surge; fewer calls may be chance.
 const FEWEST: f64 = 8.0;
 
-/// A rate in calls a second that is as good as none.
+/// Rate, in calls per second, below which an account's usual rate is negligible.
 const NEXT_TO_NONE: f64 = 0.01;
 
-/// The most accounts that are followed; the one unused longest gives way.
+/// Maximum number of accounts tracked; the account that has been idle longest is evicted.
 const ACCOUNTS_LIMIT: usize = 4_096;
 
-/// A rate as it is and as it usually is, in calls a second.
+/// Current and usual rate, in calls per second.
 #[derive(Debug, Clone, Copy)]
 struct Rates {
     since: Instant,
@@ -76,7 +82,7 @@
         };
     }
 
-    /// The rate is `present` now, as it was reported.
+    /// Updates the estimate with the current rate `present` of a report.
     fn on_report(&mut self, now: Instant, present: f64) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
@@ -89,12 +95,13 @@
         };
     }
 
-    /// The present rate where no call came since.
+    /// Returns the current rate at `now`, decayed since the last call.
     fn present_at(&self, now: Instant) -> f64 {
         let passed = now.since(self.at).as_secs_f64();
         self.present * (-passed / PRESENT.as_secs_f64()).exp()
     }
 
+    /// Returns the usual rate after `passed` seconds. Its growth is limited by [`USUAL_DOUBLES`].
     fn usual_after(&self, passed: f64) -> f64 {
         let moved = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
         let most = self.usual * (passed / USUAL_DOUBLES.as_secs_f64()).exp2();
@@ -102,24 +109,24 @@
     }
 }
 
-/// Whether an account sends many times its usual.
+/// Whether an account sends many times its usual rate.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Surge {
-    /// It does not, or all others do too.
+    /// The account does not, or all other accounts do too.
     #[default]
     None,
-    /// It does; where there is a shortage this part of its calls is let in.
+    /// The account does; in a shortage this fraction of its calls is admitted.
     LetIn(f64),
 }
 
 impl Surge {
-    /// Whether it does.
+    /// Returns whether the account surges.
     pub fn is_on(self) -> bool {
         self != Self::None
     }
 }
 
-/// The rates of all accounts at one router, and over the fleet as far as others reported it.
+/// Rates of all accounts at this router, and across the fleet as reported by other routers.
 #[derive(Debug, Default)]
 pub(super) struct Surges {
     all: Option<Rates>,
@@ -129,7 +136,7 @@
 }
 
 impl Surges {
-    /// An account sent a call; returns whether it surges.
+    /// Counts a call of an account; returns whether the account surges.
     pub(super) fn on_call(&mut self, now: Instant, account: &ClientAccountId) -> Surge {
         let all = self.all.get_or_insert_with(|| Rates::new(now));
         all.on_call(now);
@@ -148,7 +155,7 @@
         }
     }
 
-    /// What this router took, to be reported to the others.
+    /// Returns the rates of the calls that this router received, to be reported to other routers.
     pub(super) fn own_rates(&self, now: Instant) -> AccountRates {
         let rate = |(account, rates): (&ClientAccountId, &Rates)| {
             (AccountHash::from(account), rates.present_at(now))
@@ -156,7 +163,7 @@
         AccountRates::new(&self.accounts.iter().map(rate).collect())
     }
 
-    /// What all routers take now.
+    /// Updates the rates across the fleet with the sum of the current reports.
     pub(super) fn on_fleet(&mut self, now: Instant, sum: &RateSum) {
         let all = self.fleet_all.get_or_insert_with(|| Rates::new(now));
         all.on_report(now, sum.all);
@@ -173,12 +180,14 @@
         self.fleet.retain(|_, r| !r.is_known(now) || !is_silent(r));
     }
 
+    /// Returns whether the account surges by its rate across the fleet.
     fn surge_over_fleet(&self, now: Instant, account: &ClientAccountId) -> Surge {
         let own = self.fleet.get(&AccountHash::from(account));
         let both = own.zip(self.fleet_all.as_ref());
         both.map_or(Surge::None, |(own, all)| surge(now, own, all))
     }
 
+    /// Evicts the account that has been idle longest if the maximum number of accounts is reached.
     fn make_room(&mut self) {
         if self.accounts.len() < ACCOUNTS_LIMIT {
             return;
@@ -189,13 +198,14 @@
     }
 }
 
+/// Compares an account's growth over its usual rate with that of all other accounts together.
 fn surge(now: Instant, own: &Rates, all: &Rates) -> Surge {
     if !own.is_known(now) || own.present * PRESENT.as_secs_f64() < FEWEST {
         return Surge::None;
     }
     let others_present = all.present - own.present;
     let others_usual = all.usual - own.usual;
-    // Where nobody else is known to send anything, the account is compared with itself alone.
+    // If no other account has a usual rate, the account is compared with its own usual rate alone.
     let others_more = match others_usual > 0.0 {
         true => (others_present / others_usual).max(1.0),
         false => 1.0,
--- a/src/admission/warm_up.rs
+++ b/src/admission/warm_up.rs
@@ -1,14 +1,17 @@
-//! How many calls a cold target gets from this router.
+//! Limit on the calls that this router sends to cold targets.
 //!
-//! The load pattern that this answers: targets that have just started, or were idle for long, bear few calls
-//! a second for some seconds and fall over above that. What counts is what all routers together send within
-//! one second, and each hears of the others' calls up to half a second late: a cold engine has nothing to do
-//! by all counts, so all send to it. Of 73 routers without this 19 calls met one engine in a second that
-//! bears 8.9.
+//! Guards against overload of targets that have just started or were idle for long: for some
+//! seconds they sustain only a few calls per second, and fail above that. The number of calls that
+//! all routers together send within one second matters, and each router learns of the others' calls
+//! up to half a second late. By all counts a cold engine is idle, so that all routers send calls to
+//! it. Without this limit, 19 calls from 73 routers reached one engine within a second that
+//! sustains 8.9.
 //!
-//! So nothing is counted together. A cold target belongs to as many routers as it may get calls within a
-//! second, drawn by rendezvous among those that live, and each of them may send it one; all others leave it
-//! alone. Their sum is at most half of the bound, so that it also holds while routers disagree on who lives.
+//! The limit therefore needs no shared count. Each cold target is assigned to as many routers as it
+//! may get calls within a second, by rendezvous hashing among the routers that are alive, and each
+//! of them may send it one call; all other routers send it none. The sum of these calls is at most
+//! half of the bound (but one call where the bound allows one), so that the bound also holds while
+//! routers disagree on which routers are alive.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,37 +23,39 @@
 
 use crate::{ids::TargetId, membership::heartbeats::VmHash, units::Instant};
 
-/// The span within which calls at a cold target are counted, and some more for packets that overtake one
-/// another.
+/// Window within which calls to a cold target are counted: a second, and a margin for packets that
+/// overtake one another.
 const WINDOW: Duration = Duration::from_millis(1_050);
 
-/// The part of the bound that is used: two sets of routers may take a target for theirs while a change of the
-/// fleet is heard of.
+/// Fraction of the bound that is used: while a change of the fleet spreads, two sets of routers may
+/// regard a target as assigned to them.
 const BOUND_PART: f64 = 0.5;
 
-/// Places that are remembered, so that targets which are gone do not add up: those of some fleets of targets.
+/// Maximum number of cached ranks, so that targets that no longer exist do not accumulate; enough
+/// for several fleets of targets.
 const RANKS_KEPT: usize = 4_096;
 
-/// What a service's targets bear from their start on.
+/// Load that a service's targets sustain while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WarmUp {
-    /// How long a target stays cold.
+    /// Time for which a target stays cold.
     pub lasts: Duration,
-    /// Calls a second that a cold target bears.
+    /// Calls per second that a cold target sustains.
     pub calls_per_s: f64,
 }
 
-/// What cold targets may get at the most, as a factor and a number beyond what they bear.
+/// Upper bound on the calls to a cold target, relative to the load that it sustains.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdRule {
-    /// How many times the calls that it bears may reach a target within a second.
+    /// Factor by which the calls that reach a target within a second may exceed the load that it
+    /// sustains.
     pub excess: f64,
-    /// Calls beyond that.
+    /// Number of calls allowed in addition to that.
     pub extra: f64,
 }
 
 impl Default for ColdRule {
-    /// No more than it bears.
+    /// Returns a rule that allows no more calls than a target sustains.
     fn default() -> Self {
         Self {
             excess: 1.0,
@@ -60,41 +65,43 @@
 }
 
 impl ColdRule {
-    /// Calls that all routers together send to a cold target within a second.
+    /// Returns the number of calls that all routers together send to a cold target within a second.
     fn calls(self, warm_up: WarmUp) -> u32 {
         let bound = warm_up.calls_per_s * self.excess + self.extra;
         let used = warm_up.calls_per_s.min(bound * BOUND_PART).floor();
-        // One call may always run where the bound allows one.
+        // One call may always run if the bound allows one.
         let least = if bound >= 1.0 { 1.0 } else { 0.0 };
         used.max(least) as u32
     }
 }
 
-/// Whether a target may get a call.
+/// Whether a target may get a call from this router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Warmth {
-    /// It bears what its slots say.
+    /// The target is not cold; only its slots limit its calls.
     #[default]
     Warm,
-    /// It is cold, and this router has a part of what it bears.
+    /// The target is cold, and this router has an unused share of the calls that it may get.
     Shared,
-    /// It is cold, and this router has no part of it, or has used it.
+    /// The target is cold, and this router has no share of its calls or has used it.
     Closed,
 }
 
-/// This router's part of cold targets.
+/// This router's shares of the calls to cold targets.
 #[derive(Debug, Default)]
 pub struct ColdShares {
     rule: ColdRule,
-    /// Those that live, this one first.
+    /// Routers that are alive, this router first.
     routers: Vec<VmHash>,
-    /// The place of this router among those that a target may belong to; forgotten when routers change.
+    /// Cached rank of this router among the candidates for each target; cleared when the routers
+    /// change.
     ranks: HashMap<TargetId, usize>,
+    /// Times of this router's calls to each cold target within [`WINDOW`].
     sent: HashMap<TargetId, VecDeque<Instant>>,
 }
 
 impl ColdShares {
-    /// Shares under a rule.
+    /// Creates the shares for a rule.
     pub fn new(rule: ColdRule) -> Self {
         Self {
             rule,
@@ -102,12 +109,12 @@
         }
     }
 
-    /// Puts a changed rule in force.
+    /// Replaces the rule.
     pub fn set_rule(&mut self, rule: ColdRule) {
         self.rule = rule;
     }
 
-    /// The routers that live are these, this one first.
+    /// Sets the routers that are alive, this router first.
     pub fn set_routers(&mut self, routers: Vec<VmHash>) {
         if routers != self.routers {
             self.routers = routers;
@@ -115,10 +122,10 @@
         }
     }
 
-    /// Whether this router may send a call to a cold target.
+    /// Returns whether this router may send a call to a cold target.
     pub fn warmth(&mut self, now: Instant, target: &TargetId, warm_up: WarmUp) -> Warmth {
         let calls = self.rule.calls(warm_up) as usize;
-        // Where there are fewer routers than calls, each has several.
+        // If there are fewer routers than calls, each router has several of them.
         let keepers = self.routers.len().clamp(1, calls.max(1));
         let part = calls / keepers;
         let is_mine = self.rank(target) < keepers;
@@ -128,14 +135,14 @@
         }
     }
 
-    /// A call was sent to a cold target.
+    /// Records that a call was sent to a cold target.
     pub fn on_send(&mut self, now: Instant, target: &TargetId) {
         let sent = self.sent.entry(target.clone()).or_default();
         sent.retain(|at| now.since(*at) < WINDOW);
         sent.push_back(now);
     }
 
-    /// Forgets targets that got nothing lately.
+    /// Drops targets that got no call within the counting window.
     pub fn on_tick(&mut self, now: Instant) {
         let is_recent = |at: &Instant| now.since(*at) < WINDOW;
         self.sent
@@ -151,7 +158,7 @@
         sent.map_or(0, |sent| sent.iter().filter(recent).count())
     }
 
-    /// How many other routers come before this one for a target.
+    /// Returns the number of other routers that rank before this router for a target.
     fn rank(&mut self, target: &TargetId) -> usize {
         if let Some(rank) = self.ranks.get(target) {
             return *rank;
@@ -166,6 +173,7 @@
     }
 }
 
+/// Returns the rendezvous hash of a router and a target; the highest one ranks first.
 fn draw(vm: VmHash, target: &TargetId) -> u64 {
     xxh3_64_with_seed(target.as_str().as_bytes(), vm.spread() as u64)
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,8 +1,8 @@
-//! Which targets to avoid for a while, learned from the outcomes of calls.
+//! Health of targets, learned from the outcomes of calls.
 //!
-//! A health check costs as much as a call, and says less: a target may be well by its own report and
-//! fail calls, or the other way round. So no check is sent; a suspect target gets single calls
-//! that may be repeated elsewhere, at growing pauses.
+//! A health check costs as much as a call and is less reliable: a target may report itself healthy
+//! and fail calls, or the other way round. No health checks are sent. A suspect target instead gets
+//! single calls that may be repeated elsewhere, with increasing pauses between them.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,37 +14,39 @@
     units::Instant,
 };
 
-/// The weight of one outcome in the moving share of failures: about the last eight count.
+/// Weight of one outcome in the exponential moving average of the failure rate: about the last
+/// eight outcomes count.
 const OUTCOME_WEIGHT: f64 = 0.12;
 
-/// The share of failures above which a target is suspect. Services answer some calls with errors
-/// of their own even when well (one in seven on one sheet), which must stay below.
+/// Failure rate above which a target is suspect. Services answer some calls with errors of their
+/// own even when healthy (one in seven on one of the users' workload sheets), and that rate must
+/// stay below.
 const SUSPECT_SHARE: f64 = 0.45;
 
-/// Failures in a row after which a target is suspect whatever its share.
+/// Number of consecutive failures after which a target is suspect regardless of its failure rate.
 const SUSPECT_RUN: u32 = 3;
 
-/// The first pause of a suspect target; each further failure doubles it.
+/// First pause of a suspect target; each further failure doubles it.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 
-/// The longest pause: a target that is well again waits no longer for its first call.
+/// Maximum pause, and thus the longest time for which a recovered target waits for its first call.
 const LONGEST_PAUSE: Duration = Duration::from_secs(3);
 
-/// How a call at a target ended, as far as it tells the target's health.
+/// Outcome of a call at a target, as far as it indicates the target's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer, or the first event of a stream.
+    /// The target sent a complete answer, or the first event of a stream.
     Good,
-    /// It refused the call as it was full; that says nothing of its health.
+    /// The target refused the call because it was full, which does not indicate its health.
     Full,
-    /// It answered with an error of its own.
+    /// The target answered with an error of its own.
     Error,
-    /// It could not be reached, was silent, or broke off.
+    /// The target could not be reached, sent nothing, or closed the connection early.
     Broken,
 }
 
 impl Outcome {
-    /// The outcome's name in logs.
+    /// Returns the outcome's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Good => "good",
@@ -57,64 +59,72 @@
 
 #[derive(Debug, Default)]
 struct Record {
+    /// Exponential moving average of failures, from 0 to 1.
     failing: f64,
+    /// Number of consecutive failures.
     run: u32,
+    /// Number of pauses so far, which determines the length of the next one.
     pauses: u32,
+    /// End of the current or last pause; `None` if the target is not suspect.
     paused_until: Option<Instant>,
+    /// Whether a trial call is in progress.
     trial: bool,
-    /// Pushed back by a full target; a short while in which others are tried first.
+    /// End of the short time after a refusal in which other targets are tried first.
     full_until: Option<Instant>,
 }
 
-/// How long a target that refused a call as full is passed over.
+/// Time for which other targets are preferred to a target that refused a call because it was full.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
 
-/// What is believed of a target.
+/// Health of a target as this router sees it, from best to worst.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It gets calls.
+    /// The target gets calls.
     #[default]
     Well,
-    /// It refused a call a moment ago.
+    /// The target refused a call a moment ago because it was full.
     Full,
-    /// Several peers get no answers from it, or it broke off a call at once.
+    /// Several peers report that the target is unresponsive, or it was just found to be down.
     Suspected,
-    /// One call may be tried there, if it can be repeated elsewhere.
+    /// One call may be tried at the target if the call can be repeated elsewhere.
     OnTrial,
-    /// It has calls of ours and sends nothing.
+    /// The target has calls of this router in progress but sends nothing.
     Stalled,
-    /// It gets none.
+    /// The target gets no calls: it is in a pause, or a trial call is in progress.
     Paused,
 }
 
-/// How long a plain service's target may send nothing while it has calls of ours: its work
-/// takes 15 ms and seldom 110 (users' sheets).
+/// Time after which a plain service's target that has calls in progress but sends nothing is
+/// stalled: its work takes 15 ms and rarely 110 ms (users' workload sheets).
 const PLAIN_STALLS: Duration = Duration::from_millis(220);
 
-/// The same for a model engine, which may have to read some long prompts first.
+/// Time after which a model engine that has calls in progress but sends nothing is stalled; it may
+/// have to process several long prompts first.
 const ENGINE_STALLS: Duration = Duration::from_millis(900);
 
-/// Calls of ours at one target.
+/// Calls of this router in progress at one target.
 #[derive(Debug)]
 struct Waiting {
     calls: u32,
+    /// Time of the last data from the target, or of the first call sent to it while it was idle.
     last_activity: Instant,
+    /// Time without data after which the target is stalled.
     stalls: Duration,
 }
 
-/// The health of all targets.
+/// Health of all targets.
 #[derive(Debug, Default)]
 pub struct Health {
     records: HashMap<TargetId, Record>,
     waiting: HashMap<TargetId, Waiting>,
     suspicions: Suspicions,
-    /// Which broke off a call at once.
+    /// Targets that were recently found to be down.
     pub outages: Outages,
 }
 
 impl Health {
-    /// What is believed of a target now.
+    /// Returns the health of a target at `now`.
     pub fn standing(&self, now: Instant, target: &TargetId) -> Standing {
         let record = self.records.get(target);
         let paused = record.and_then(|r| r.paused_until.map(|until| now < until || r.trial));
@@ -139,19 +149,19 @@
         self.outages.is_out(now, hash) || self.suspicions.is_suspected(now, hash)
     }
 
-    /// A target sent a part of an answer.
+    /// Records that a target sent a part of an answer.
     pub fn on_activity(&mut self, now: Instant, target: &TargetId) {
         if let Some(waiting) = self.waiting.get_mut(target) {
             waiting.last_activity = now;
         }
     }
 
-    /// A peer told which targets give it no answers.
+    /// Replaces the list of targets that a peer reports as unresponsive.
     pub fn on_suspicions(&mut self, now: Instant, peer: VmId, targets: Vec<TargetHash>) {
         self.suspicions.on_report(now, peer, targets);
     }
 
-    /// Targets that give no answers here, to tell the peers.
+    /// Returns the targets that are stalled or paused at this router, to be reported to peers.
     pub fn suspected_here(&self, now: Instant) -> Vec<TargetHash> {
         let silent = |t: &&TargetId| self.standing(now, t) >= Standing::Stalled;
         let known = self.records.keys().chain(self.waiting.keys());
@@ -167,7 +177,8 @@
         }
     }
 
-    /// A call is sent to a target; engines may take longer than plain services to send anything.
+    /// Records that a call is sent to a target. Engines may take longer than plain services until
+    /// they send anything.
     pub fn on_send(&mut self, now: Instant, target: &TargetId, is_engine: bool) {
         let waiting = self.waiting.entry(target.clone()).or_insert(Waiting {
             calls: 0,
@@ -189,7 +200,7 @@
         }
     }
 
-    /// A call was given up before its outcome was known.
+    /// Records that a call was abandoned before its outcome was known.
     pub fn on_abandon(&mut self, target: &TargetId) {
         self.on_gone(target);
         if let Some(record) = self.records.get_mut(target) {
@@ -197,7 +208,7 @@
         }
     }
 
-    /// A call ended; returns the new standing where it changed.
+    /// Records the outcome of a call; returns the target's new health if it changed.
     pub fn on_outcome(
         &mut self,
         now: Instant,
@@ -220,7 +231,7 @@
         (before != after).then_some(after)
     }
 
-    /// Forgets targets that are gone.
+    /// Drops the state of targets that are not listed, except counts of calls still in progress.
     pub fn retain(&mut self, listed: impl Fn(&TargetId) -> bool) {
         self.records.retain(|id, _| listed(id));
         self.waiting.retain(|id, w| w.calls > 0 || listed(id));
@@ -232,7 +243,8 @@
         self.run = 0;
         self.failing *= 1.0 - OUTCOME_WEIGHT;
         if self.paused_until.take().is_some() {
-            // The trial went well: trusted again, but a relapse is noticed at once.
+            // After a successful trial the target is used again, but its failure rate stays high
+            // enough that a relapse is detected at once.
             self.failing = SUSPECT_SHARE * 0.8;
         }
         if self.failing < SUSPECT_SHARE / 4.0 {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,9 +1,9 @@
-//! Rates and concurrency of client accounts, over the whole fleet.
+//! Limits on the request rate and concurrency of client accounts across the fleet.
 //!
-//! The router that keeps an account grants shares of its limits for a few seconds, by the
-//! demand that the others tell. Nine tenths are granted; the last tenth is split evenly as a
-//! floor that every router may use without a grant, so that a router that is cut off, or has
-//! just started, still serves and the total stays under the limit.
+//! The router that owns an account grants shares of the account's limits for a few seconds, based
+//! on the demand that the other routers report. Nine tenths of a limit are granted. The last tenth
+//! is divided evenly among all routers as a floor that needs no grant: a router that is
+//! disconnected or has just started still serves, and the total stays below the limit.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,33 +11,33 @@
 
 use crate::{ids::VmId, units::Instant};
 
-/// How often demand is told and shares are granted.
+/// Interval at which routers report demand and receive shares.
 pub const SHARE_EVERY: Duration = Duration::from_secs(1);
 
-/// How long a grant holds.
+/// Time for which a grant is valid.
 pub const GRANT_VALID: Duration = Duration::from_secs(3);
 
-/// The part of a limit that is split evenly without grants.
+/// Fraction of a limit that is divided evenly among routers without grants.
 const FLOOR_PART: f64 = 0.1;
 
-/// How much of a second's rate may be used at once.
+/// Maximum burst, in seconds of the granted rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// What a router needs of an account's limits.
+/// A router's demand for an account's limits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests that came in a second, in thousandths.
+    /// Arrival rate, in thousandths of a request per second.
     pub rate_milli: u64,
-    /// Requests in progress, and refused for concurrency in the last second.
+    /// Requests in progress plus requests rejected for concurrency since the last report.
     pub in_flight: u32,
-    /// The rate that an earlier grant still allows.
+    /// Rate that an earlier grant still allows, in thousandths of a request per second.
     pub held_rate_milli: u64,
-    /// The concurrency that an earlier grant still allows.
+    /// Number of requests in progress that an earlier grant still allows.
     pub held_concurrency: u32,
 }
 
 impl Demand {
-    /// A grant of just what is held.
+    /// Returns a grant that renews exactly what the router still holds.
     fn held(&self) -> Grant {
         Grant {
             rate_milli: self.held_rate_milli,
@@ -47,40 +47,47 @@
     }
 }
 
-/// What a router may use of an account's limits, beyond its floor.
+/// Share of an account's limits that a router may use beyond its floor.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Requests a second, in thousandths.
+    /// Request rate, in thousandths of a request per second.
     pub rate_milli: u64,
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     pub concurrency: u32,
-    /// How long it holds.
+    /// Time for which the grant is valid after its receipt.
     pub valid: Duration,
 }
 
-/// An account's limits over the fleet.
+/// Limits of an account across the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccountLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub requests_per_s: u32,
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     pub concurrency: u32,
 }
 
-/// The limiter of one account at one router.
+/// Enforces one account's limits at one router by a token bucket and a count of requests in
+/// progress.
 #[derive(Debug, Clone)]
 pub struct Limiter {
+    /// Last grant, with the time of its receipt.
     grant: Option<(Instant, Grant)>,
+    /// Tokens in the bucket; each admitted request takes one.
     level: f64,
+    /// Time of the last refill.
     filled: Instant,
     in_flight: u32,
+    /// Requests that arrived since the last report.
     arrived: u32,
+    /// Requests rejected for concurrency since the last report.
     turned_away: u32,
+    /// Time of the last report.
     told: Instant,
 }
 
 impl Limiter {
-    /// A limiter without a grant.
+    /// Creates a limiter without a grant.
     pub fn new(now: Instant) -> Self {
         Self {
             grant: None,
@@ -93,7 +100,7 @@
         }
     }
 
-    /// Takes a request in, or says how long to wait before asking again.
+    /// Admits a request, or returns the delay after which the caller should retry.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -120,22 +127,23 @@
         }
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn finish(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Requests in progress here.
+    /// Returns the number of requests in progress at this router.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Takes a grant.
+    /// Stores a grant of the account's owner.
     pub fn on_grant(&mut self, now: Instant, grant: Grant) {
         self.grant = Some((now, grant));
     }
 
-    /// What to tell the account's keeper; `None` while there is nothing to tell.
+    /// Returns the demand to report to the account's owner, and begins the next reporting interval;
+    /// `None` if there is nothing to report.
     pub fn take_demand(&mut self, now: Instant) -> Option<Demand> {
         let seconds = now.since(self.told).as_secs_f64().max(0.001);
         let held = self.live_grant(now).unwrap_or_default();
@@ -151,6 +159,7 @@
         (demand != Demand::default()).then_some(demand)
     }
 
+    /// Returns the rate and the concurrency that this router may use now.
     fn share(&self, now: Instant, limits: AccountLimits, routers: usize) -> (f64, u32) {
         let floor = floor(limits, routers);
         match self.live_grant(now) {
@@ -169,18 +178,18 @@
 
     fn fill(&mut self, now: Instant, rate: f64) {
         let gained = now.since(self.filled).as_secs_f64() * rate;
-        // A share below one a second still lets one through in its time.
+        // A rate below one request per second still admits one request once enough time has passed.
         let most = (rate * BURST_SECONDS).max(1.0);
         self.level = (self.level + gained).min(most);
         self.filled = now;
     }
 }
 
-/// The shares of one account, at the router that keeps it.
+/// Allocates the shares of one account at the router that owns it.
 ///
-/// What is granted never exceeds what is not still held by others. A router that has just
-/// become the keeper knows nothing of grants before its time; until those have lapsed it
-/// renews to each router just what that one holds.
+/// A grant never exceeds what is not currently granted to other routers. A router that has just
+/// become the owner does not know earlier grants; until these have expired, it renews to each
+/// router exactly what that router reports to hold.
 #[derive(Debug, Clone)]
 pub struct ShareKeeper {
     since: Instant,
@@ -189,7 +198,7 @@
 }
 
 impl ShareKeeper {
-    /// A keeper that knows of no grants, from `now` on.
+    /// Creates the state of a router that owns the account from `now` on and knows of no grants.
     pub fn new(now: Instant) -> Self {
         Self {
             since: now,
@@ -198,13 +207,13 @@
         }
     }
 
-    /// Whether nobody has asked for so long that all grants have lapsed.
+    /// Returns whether no router has reported demand for so long that all grants have expired.
     pub fn is_idle(&self, now: Instant) -> bool {
         let lapsed = |at: &Instant| now.since(*at) >= GRANT_VALID;
         self.demands.values().all(|(at, _)| lapsed(at)) && lapsed(&self.since)
     }
 
-    /// Takes a router's demand and answers with its share.
+    /// Stores a router's demand and returns the share granted to it.
     pub fn on_demand(
         &mut self,
         now: Instant,
@@ -224,6 +233,8 @@
         grant
     }
 
+    /// Computes a router's max-min fair share of the limits, capped by what is not granted to other
+    /// routers.
     fn fair_grant(&self, from: &VmId, limits: AccountLimits) -> Grant {
         let rates = self.demands.iter().map(|(vm, (_, d))| (vm, d.rate_milli));
         let flights = self
@@ -247,7 +258,7 @@
     }
 }
 
-/// What every router may use without a grant.
+/// Returns the rate and the concurrency that every router may use without a grant.
 fn floor(limits: AccountLimits, routers: usize) -> (f64, u32) {
     let n = routers.max(1) as f64;
     let rate = f64::from(limits.requests_per_s) * FLOOR_PART / n;
@@ -255,7 +266,8 @@
     (rate, concurrency.floor() as u32)
 }
 
-/// Max-min fair: no one gets more than asked until all have; what is left is split evenly.
+/// Computes the max-min fair share of one router: no router gets more than it demands until all
+/// demands are met, and the remainder is divided evenly.
 fn fair_share<'a>(total: u64, demands: impl Iterator<Item = (&'a VmId, u64)>, whose: &VmId) -> u64 {
     let mut sorted: Vec<_> = demands.collect();
     sorted.sort_by_key(|(vm, d)| (*d, (*vm).clone()));
@@ -269,6 +281,6 @@
             share = got;
         }
     }
-    // What nobody asked for is split evenly, so that a rise finds room at once.
+    // The remainder is divided evenly, so that an increase in demand can be served at once.
     share + left / sorted.len().max(1) as u64
 }
--- a/src/outages.rs
+++ b/src/outages.rs
@@ -1,10 +1,10 @@
-//! Targets that just broke off a call at once, refused a connection or asked for time, as routers announce them to
-//! one another.
+//! Targets that were just found to be down, as routers announce them to one another: they closed a
+//! connection right after a call was sent, refused a connection, or asked callers to back off.
 //!
-//! The load pattern that this answers: targets go down together, and hundreds of routers, of which each
-//! has few calls for each of them. Where each router has to find out by itself, 0.29 to 0.32 of what is sent
-//! in the seconds until the entries of a quarter of the targets lapse meets one of them, and 0.04 to 0.05
-//! with notices (`tests/load/stale_counts.rs`, 87 to 380 routers).
+//! Guards against several targets that go down together, with hundreds of routers of which each has
+//! few calls for each target. If each router has to detect an outage itself, 0.29 to 0.32 of the
+//! calls sent until the entries of a quarter of the targets expire some seconds later reach one of
+//! these targets; with notices 0.04 to 0.05 do (`tests/load/stale_counts.rs`, 87 to 380 routers).
 
 use std::{collections::HashMap, time::Duration};
 
@@ -12,42 +12,46 @@
 
 use crate::{target_counts::TargetHash, units::Instant};
 
-/// How soon after a call was sent its connection breaks if the target is down: some round trips of
-/// a few milliseconds. One that runs the call and loses its answer takes longer (15 ms of work on
-/// the users' sheets).
+/// Maximum time between sending a call and the close of its connection for the target to be
+/// regarded as down: some round trips of a few milliseconds. A target that runs the call and loses
+/// its answer takes longer (15 ms of work on the users' workload sheets).
 const AT_ONCE: Duration = Duration::from_millis(15);
 
-/// How long a target is left alone for it where others have room: one that flaps is down for about a second.
+/// Time for which a target that is down is avoided if others have capacity; a target that flaps is
+/// down for about a second.
 const LEFT_ALONE: Duration = Duration::from_millis(800);
 
-/// How many times that doubles where the target is still down when it is tried again: until its entry
-/// lapses, which takes three heartbeats of more than a second.
+/// Maximum number of times that this time doubles while the target is still down when it is tried
+/// again. The target is then avoided until its entry expires, which takes three heartbeats of more
+/// than a second.
 const DOUBLED: u32 = 2;
 
-/// How soon after it was left alone a target has to be down again for it to be the same outage that goes
-/// on: time for a few of hundreds of routers to have a call for it.
+/// Time after the end of an avoidance within which a further failure continues the same outage:
+/// enough for a few of hundreds of routers to have a call for the target.
 const GOES_ON: Duration = Duration::from_secs(1);
 
-/// An outage that was found so shortly before or after another one is the same.
+/// Time between two reports of an outage within which both concern the same failure.
 const SAME_OUTAGE: Duration = Duration::from_millis(200);
 
 /// An outage as routers announce it to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutageNotice {
     target: TargetHash,
-    /// How long ago it was found.
+    /// Time since the outage was found, in milliseconds.
     age_ms: u16,
 }
 
-/// An outage that was found.
+/// An outage that this router or a peer found.
 #[derive(Debug, Clone, Copy)]
 struct Outage {
+    /// Time at which the outage was last found.
     at: Instant,
-    /// How many times the target was down again when it was tried.
+    /// Number of times that the target was still down when it was tried again.
     repeats: u32,
 }
 
 impl Outage {
+    /// Returns the time for which the target is avoided.
     fn left_alone(self) -> Duration {
         LEFT_ALONE * 2_u32.pow(self.repeats.min(DOUBLED))
     }
@@ -56,25 +60,28 @@
         now.since(self.at)
     }
 
+    /// Returns whether the target is still avoided.
     fn is_on(self, now: Instant) -> bool {
         self.age(now) < self.left_alone()
     }
 
+    /// Returns whether a further failure continues this outage.
     fn may_go_on(self, now: Instant) -> bool {
         self.age(now) < self.left_alone() + GOES_ON
     }
 }
 
-/// When each target was last found to be down.
+/// Outages by target, each with the time when it was last found.
 #[derive(Debug, Default)]
 pub struct Outages {
     found: HashMap<TargetHash, Outage>,
+    /// Whether outages were found since [`Outages::take_unannounced`] was last called.
     unannounced: bool,
 }
 
 impl Outages {
-    /// A connection broke without an answer, so long after a call was sent on it. Returns whether
-    /// the target is out for it.
+    /// Records that a connection closed without an answer, `after` a call was sent on it. Returns
+    /// whether the target is therefore regarded as down.
     pub fn on_broke(&mut self, now: Instant, target: TargetHash, after: Duration) -> bool {
         let is_out = after <= AT_ONCE;
         if is_out {
@@ -83,12 +90,14 @@
         is_out
     }
 
-    /// A target refused a connection, another one has its address, or it asked for time.
+    /// Records that a target refused a connection, that another target has its address, or that it
+    /// asked callers to back off.
     pub fn on_refused(&mut self, now: Instant, target: TargetHash) {
         self.find(now, target);
     }
 
-    /// A peer announced outages, its own ones or others'. Returns how many are new here.
+    /// Stores outages that a peer announced, whether found by the peer itself or by others. Returns
+    /// how many are new to this router.
     pub fn on_notices(&mut self, now: Instant, notices: &[OutageNotice]) -> usize {
         let mut new = 0;
         for OutageNotice { target, age_ms } in notices {
@@ -98,12 +107,12 @@
         new
     }
 
-    /// Whether a target is left alone.
+    /// Returns whether a target is avoided.
     pub fn is_out(&self, now: Instant, target: TargetHash) -> bool {
         self.found.get(&target).is_some_and(|o| o.is_on(now))
     }
 
-    /// What to announce to the peers.
+    /// Returns the outages to announce to peers.
     pub fn notices(&self, now: Instant) -> Vec<OutageNotice> {
         let on = self.found.iter().filter(|(_, outage)| outage.is_on(now));
         let notice = |(target, outage): (&TargetHash, &Outage)| OutageNotice {
@@ -113,17 +122,18 @@
         on.map(notice).collect()
     }
 
-    /// Whether outages were found or heard of since the last call.
+    /// Returns whether outages were found or reported by peers since the last call, and resets this
+    /// state.
     pub fn take_unannounced(&mut self) -> bool {
         std::mem::take(&mut self.unannounced)
     }
 
-    /// Forgets what is over.
+    /// Drops outages that are over.
     pub fn on_tick(&mut self, now: Instant) {
         self.found.retain(|_, outage| outage.may_go_on(now));
     }
 
-    /// Notes an outage that was found at `at`; returns whether it is a new one.
+    /// Records an outage that was found at `at`; returns whether it is new.
     fn find(&mut self, at: Instant, target: TargetHash) -> bool {
         let repeats = match self.found.get(&target) {
             Some(known) if at.since(known.at) <= SAME_OUTAGE => return false,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,4 +1,4 @@
-//! What may follow a failed attempt, and the fleet's budget of repeats.
+//! Rules for repeating a failed attempt, and the fleet's retry budget.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -10,11 +10,12 @@
 /// Whether a target ran a call that was sent to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// It did not, and never will: the connection never opened, or the target said so.
+    /// The target did not run the call and never will: the connection never opened, or the target
+    /// said so.
     NotRun,
-    /// It did: an answer came.
+    /// The target ran the call: an answer arrived.
     Ran,
-    /// Nobody can tell.
+    /// It is unknown whether the target ran the call.
     MayHaveRun,
 }
 
@@ -22,41 +23,45 @@
 #[derive(Debug, Clone, Copy)]
 pub struct NotRun(());
 
-/// All attempts of one call, as far as they bind what may be done and said.
+/// State of a call's attempts that determines whether it may be repeated and what the caller may be
+/// told.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Attempts {
+    /// Number of attempts that reached a target.
     sent: u32,
+    /// Whether any attempt ran or may have run.
     may_have_run: bool,
+    /// Whether the caller has received a part of the answer.
     begun: bool,
 }
 
 impl Attempts {
-    /// An attempt reached a target.
+    /// Records that an attempt reached a target.
     pub fn on_sent(&mut self) {
         self.sent += 1;
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub fn on_fate(&mut self, fate: Fate) {
         self.may_have_run |= fate != Fate::NotRun;
     }
 
-    /// The caller has a part of the answer.
+    /// Records that the caller has received a part of the answer.
     pub fn on_begun(&mut self) {
         self.begun = true;
     }
 
-    /// Targets that the call was sent to.
+    /// Returns the number of targets that the call was sent to.
     pub fn sent(self) -> u32 {
         self.sent
     }
 
-    /// What is needed to tell the caller that the call has not run.
+    /// Returns the proof that is required to tell the caller that the call has not run.
     pub fn not_run(self) -> Option<NotRun> {
         (!self.may_have_run).then_some(NotRun(()))
     }
 
-    /// Whether another target may be tried.
+    /// Returns whether another target may be tried.
     pub fn may_go_on(self, kind: CallKind, max_attempts: u32) -> bool {
         let again = match self.begun {
             true => kind.is_resumable(),
@@ -66,41 +71,47 @@
     }
 }
 
-/// The part of the budget that is used at most: other routers' counts are a little old.
+/// Maximum fraction of the budget that is used, because other routers' counts are slightly out of
+/// date.
 const USED_PART: f64 = 0.8;
 
-/// What a router may use of its share within the first window of its life, of which it does not know what the life before used: of the
-/// fifth of the budget that is left unused, two restarts of all routers within one window take this each.
+/// Fraction of its share that a router may use within its first window, because it does not know
+/// what it used before a restart. Two restarts of all routers within one window thus take a tenth
+/// of the budget each, which is the fifth of the budget that is left unused.
 const STARTING_PART: f64 = 0.1;
 
-/// How the fleet's budget is set.
+/// Size of the fleet's retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetRule {
-    /// Repeats allowed for each call of the window.
+    /// Repeats allowed per call of the window.
     pub ratio: f64,
-    /// The sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Repeats allowed beyond the ratio, for the whole fleet.
+    /// Repeats allowed in addition to the ratio, for the whole fleet.
     pub extra: f64,
 }
 
-/// This router's part of what the whole fleet may repeat, such that all parts of one window add up to no more than the
-/// whole: the least one that it had within the window.
+/// This router's share of the repeats of the whole fleet: the smallest share that it had within the
+/// window, so that all shares used within one window add up to no more than the whole.
 ///
-/// A router that stops, dies or starts again leaves repeats behind that still count. Where its part passes on at once, the parts of one window
-/// add up to 2.1 (three of four routers stopped or killed within 2.6 s; shares in the log lines of repeats). So
-/// what a router gains counts a window later, what it loses at once, and one that starts or stood still has a tenth of it for a window.
+/// A router that stops, dies or restarts leaves repeats behind that still count. If its share
+/// passed to other routers at once, the shares used within one window would add up to 2.1 (three of
+/// four routers stopped or killed within 2.6 s; shares in the log lines of repeats). An increase of
+/// a router's share therefore counts one window later and a decrease at once, and a router that has
+/// started or was suspended may use a tenth of its share for one window.
 #[derive(Debug, Default)]
 pub struct FleetShare {
-    /// Since when there are observations without a gap of a window.
+    /// Start of the observations without a gap of a window or more.
     since: Option<Instant>,
+    /// Time of the last observation.
     last: Instant,
-    /// Observations, each smaller than all after it.
+    /// Observed shares, each smaller than all later ones.
     rising: VecDeque<(Instant, f64)>,
 }
 
 impl FleetShare {
-    /// This router's part is so large now, by the routers that it hears of. `window` is the budget's.
+    /// Adds an observation of this router's current share, computed from the routers that it knows
+    /// to be alive. `window` is the window of the budget.
     pub fn on_share(&mut self, now: Instant, share: f64, window: Duration) {
         if now.since(self.last) >= window {
             self.rising.clear();
@@ -109,20 +120,20 @@
         self.since = self.since.or(Some(now));
         self.last = now;
         let is_old = |at: Instant| now.since(at) >= window;
-        // The last one that is older was in force when the window began.
+        // The last expired observation was in force when the window began.
         while self.rising.get(1).is_some_and(|(at, _)| is_old(*at)) {
             self.rising.pop_front();
         }
         while self.rising.back().is_some_and(|(_, s)| *s > share) {
             self.rising.pop_back();
         }
-        // One that is the same has been in force since the earlier observation.
+        // An equal share has been in force since the earlier observation.
         if self.rising.back().is_none_or(|(_, s)| *s < share) {
             self.rising.push_back((now, share));
         }
     }
 
-    /// The part that may be used.
+    /// Returns the share that may be used.
     pub fn usable(&self, now: Instant, window: Duration) -> f64 {
         let observed = self.since.is_some_and(|at| now.since(at) >= window);
         let least = self.rising.front().map_or(0.0, |(_, s)| *s);
@@ -140,7 +151,7 @@
     repeats: VecDeque<Instant>,
 }
 
-/// This router's share of the repeats at each service.
+/// This router's share of the retry budget of each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     rule: BudgetRule,
@@ -148,7 +159,7 @@
 }
 
 impl RetryBudget {
-    /// A budget by this rule.
+    /// Creates a budget with this rule.
     pub fn new(rule: BudgetRule) -> Self {
         Self {
             rule,
@@ -156,18 +167,19 @@
         }
     }
 
-    /// Puts another rule in force; what was counted stays.
+    /// Replaces the rule; earlier calls and repeats still count.
     pub fn set_rule(&mut self, rule: BudgetRule) {
         self.rule = rule;
     }
 
-    /// A caller's call for a service arrived.
+    /// Records the arrival of a caller's call for a service.
     pub fn on_call(&mut self, now: Instant, service: &ServiceName) {
         let window = self.window(now, service);
         window.calls.push_back(now);
     }
 
-    /// Takes one repeat if the share allows it. `share` is this router's part of the fleet.
+    /// Takes one repeat from the budget if the share allows it; returns whether it does. `share` is
+    /// this router's share of the fleet.
     pub fn take(&mut self, now: Instant, service: &ServiceName, share: f64) -> bool {
         let rule = self.rule;
         let window = self.window(now, service);
@@ -180,6 +192,7 @@
         fits
     }
 
+    /// Returns the window of a service, without expired calls and repeats.
     fn window(&mut self, now: Instant, service: &ServiceName) -> &mut Window {
         let length = self.rule.window;
         let window = self.services.entry(service.clone()).or_default();
--- a/src/suspicions.rs
+++ b/src/suspicions.rs
@@ -1,9 +1,9 @@
-//! Targets that give some routers no answers, as these report them.
+//! Targets that other routers report as unresponsive.
 //!
-//! The load pattern that this answers: hundreds of peers, nearly all of which suspect nothing, and thousands of
-//! targets, of each of which a call asks whether it is suspected. Reports are kept by target, so that a target
-//! that nobody suspects costs one look-up: a choice among 3,000 targets beside 300 peers takes 0.9 to 1.6 ms in
-//! place of 6.0 to 6.2 (`slopes`).
+//! Handles hundreds of peers, nearly all of which suspect nothing, and thousands of targets, for
+//! each of which a call checks whether it is suspected. Reports are indexed by target, so that a
+//! target that no peer suspects costs one lookup: a choice among 3,000 targets with 300 peers takes
+//! 0.9 to 1.6 ms instead of 6.0 to 6.2 ms (`slopes`).
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,28 +11,30 @@
 
 use crate::{ids::VmId, target_counts::TargetHash, units::Instant};
 
-/// Peers that have to suspect a target for it to be suspected here: one may have a bad link itself.
+/// Number of peers that must suspect a target for it to be suspected here; a single peer may have a
+/// bad link itself.
 const SUSPECTING_PEERS: usize = 2;
 
-/// How long a peer's suspicion counts after it was reported.
+/// Time for which a peer's report counts.
 const SUSPICION_EXPIRES: Duration = Duration::from_millis(1_200);
 
-/// The last report of a peer that suspects any target.
+/// Last report of a peer that suspects any target.
 #[derive(Debug)]
 struct Report {
     at: Instant,
     targets: Vec<TargetHash>,
 }
 
-/// What peers reported last.
+/// Last reports of all peers.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
     reports: HashMap<VmId, Report>,
+    /// Peers that suspect each target.
     by_target: FxHashMap<TargetHash, Vec<VmId>>,
 }
 
 impl Suspicions {
-    /// A peer reported all targets that it suspects now.
+    /// Replaces the report of a peer by all targets that it suspects now.
     pub(crate) fn on_report(&mut self, now: Instant, peer: VmId, mut targets: Vec<TargetHash>) {
         self.withdraw(&peer);
         if targets.is_empty() {
@@ -47,7 +49,7 @@
         self.reports.insert(peer, Report { at: now, targets });
     }
 
-    /// Whether enough peers suspect a target.
+    /// Returns whether enough peers suspect a target.
     pub(crate) fn is_suspected(&self, now: Instant, target: TargetHash) -> bool {
         let Some(peers) = self.by_target.get(&target) else {
             return false;
@@ -57,7 +59,7 @@
         peers.iter().filter(suspects).count() >= SUSPECTING_PEERS
     }
 
-    /// Forgets what a peer reported before.
+    /// Removes the last report of a peer.
     fn withdraw(&mut self, peer: &VmId) {
         let Some(before) = self.reports.remove(peer) else {
             return;
