--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -47,31 +47,31 @@
 }
 
 impl CallLimit {
-    /// Computes the limit from the shortest goal and from `held`, the mean time for which a call
+    /// Computes the limit from the shortest goal and from `slot_time`, the mean time for which a call
     /// occupies a slot.
     ///
     /// Until that time is known, the limit is one call per slot.
-    pub(super) fn new(goal: Duration, held: Option<Duration>) -> Self {
-        let queued = |held: Duration| {
-            let held = held.as_secs_f64().max(f64::EPSILON);
-            goal.as_secs_f64() * QUEUE_PART / held
+    pub(super) fn new(goal: Duration, slot_time: Option<Duration>) -> Self {
+        let queued = |slot_time: Duration| {
+            let slot_time = slot_time.as_secs_f64().max(f64::EPSILON);
+            goal.as_secs_f64() * QUEUE_PART / slot_time
         };
         Self {
-            calls_a_slot: (1.0 + held.map_or(0.0, queued)).min(MOST_A_SLOT),
+            calls_a_slot: (1.0 + slot_time.map_or(0.0, queued)).min(MOST_A_SLOT),
         }
     }
 
     /// Returns the maximum number of calls in progress at a target with `slots` slots at which it
     /// still accepts `call`.
     pub fn most_calls(self, slots: u32, call: CallTraits) -> u32 {
-        let for_home = match call.at_home {
+        let cached = match call.at_home {
             true => self.calls_a_slot,
             false => 1.0 - HOME_PART,
         };
-        let for_others = if call.surges { OTHERS_PART } else { 0.0 };
-        let calls_a_slot = for_home - for_others;
-        let most = f64::from(slots) * calls_a_slot;
+        let reserved = if call.surges { OTHERS_PART } else { 0.0 };
+        let per_slot = cached - reserved;
+        let max = f64::from(slots) * per_slot;
         // A target may always run one call.
-        (most.round() as u32).max(1)
+        (max.round() as u32).max(1)
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -81,10 +81,11 @@
     pub fn hall_rates(&self, now: Instant, hall: &DataHall) -> HallRates {
         let own: AccountRates = self.others.of_own_hall(&self.surges.own_rates(now));
         let own = RateReport::Hall(hall.clone(), own);
-        let others = self.others.of_other_halls();
-        let others = others.map(|(hall, rates)| RateReport::Hall(hall.clone(), rates.clone()));
+        let other_halls = self.others.of_other_halls();
+        let other_halls =
+            other_halls.map(|(hall, rates)| RateReport::Hall(hall.clone(), rates.clone()));
         HallRates {
-            near: std::iter::once(own.clone()).chain(others).collect(),
+            near: std::iter::once(own.clone()).chain(other_halls).collect(),
             far: vec![own],
         }
     }
@@ -134,8 +135,8 @@
 
     /// Records the time for which a call occupied a slot at its target, without time in the
     /// target's queue.
-    pub fn on_held(&mut self, service: &ServiceName, held: Duration) {
-        self.pool(service).occupancy.on_held(held);
+    pub fn on_held(&mut self, service: &ServiceName, slot_time: Duration) {
+        self.pool(service).occupancy.on_held(slot_time);
     }
 
     /// Restores the mean time for which calls occupied a slot, as known before this router
@@ -144,8 +145,8 @@
     /// Only calls that did not queue contribute to the mean at once. A router that starts while all
     /// targets are flooded therefore learns nothing for seconds, and treats targets as full that
     /// are not.
-    pub fn on_recalled(&mut self, service: &ServiceName, held: Duration) {
-        self.pool(service).occupancy.on_recalled(held);
+    pub fn on_recalled(&mut self, service: &ServiceName, slot_time: Duration) {
+        self.pool(service).occupancy.on_recalled(slot_time);
     }
 
     /// Records that a call was refused because no target had capacity.
@@ -165,8 +166,8 @@
     /// Iterates over the services and the mean time for which their calls occupy a slot, where it
     /// is known.
     pub fn learned(&self) -> impl Iterator<Item = (&ServiceName, Duration)> {
-        let learned = |(service, pool): (_, &Pool)| Some((service, pool.occupancy.mean()?));
-        self.pools.iter().filter_map(learned)
+        let mean = |(service, pool): (_, &Pool)| Some((service, pool.occupancy.mean()?));
+        self.pools.iter().filter_map(mean)
     }
 
     /// Returns the delay after which a refused caller should retry.
@@ -181,8 +182,8 @@
         draw: f64,
     ) -> Duration {
         let room = self.room(now, service);
-        let lasts = room.short_for.map_or(Duration::ZERO, shortage::expected_at);
-        shortage::come_back(lasts.max(room.held.unwrap_or_default()), left, draw)
+        let remaining = room.short_for.map_or(Duration::ZERO, shortage::expected_at);
+        shortage::come_back(remaining.max(room.held.unwrap_or_default()), left, draw)
     }
 
     /// Returns the delay after which a caller should retry that reached a router without a
--- a/src/admission/occupancy.rs
+++ b/src/admission/occupancy.rs
@@ -15,15 +15,15 @@
 
 impl Occupancy {
     /// Adds the time for which a call occupied a slot, without its time in the target's queue.
-    pub(super) fn on_held(&mut self, held: Duration) {
-        let held = held.as_secs_f64();
-        let mean = self.mean_s.unwrap_or(held);
-        self.mean_s = Some(mean + (held - mean) * CALL_WEIGHT);
+    pub(super) fn on_held(&mut self, slot_time: Duration) {
+        let slot_time = slot_time.as_secs_f64();
+        let mean = self.mean_s.unwrap_or(slot_time);
+        self.mean_s = Some(mean + (slot_time - mean) * CALL_WEIGHT);
     }
 
     /// Restores the mean from before a restart, unless calls have been observed since.
-    pub(super) fn on_recalled(&mut self, held: Duration) {
-        self.mean_s.get_or_insert(held.as_secs_f64());
+    pub(super) fn on_recalled(&mut self, slot_time: Duration) {
+        self.mean_s.get_or_insert(slot_time.as_secs_f64());
     }
 
     /// Returns the mean; `None` before the first call.
--- a/src/admission/shortage.rs
+++ b/src/admission/shortage.rs
@@ -68,8 +68,8 @@
 }
 
 /// Computes the retry delay of a caller that waits for `left` in total, when capacity is expected
-/// after `lasts`.
-pub(super) fn come_back(lasts: Duration, left: Duration, draw: f64) -> Duration {
-    let pause = lasts.min(left.mul_f64(HEEDED_PART));
+/// after `remaining`.
+pub(super) fn come_back(remaining: Duration, left: Duration, draw: f64) -> Duration {
+    let pause = remaining.min(left.mul_f64(HEEDED_PART));
     pause.mul_f64(1.0 - SPREAD * draw.clamp(0.0, 1.0))
 }
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -103,9 +103,9 @@
 
     /// Returns the usual rate after `passed` seconds. Its growth is limited by [`USUAL_DOUBLES`].
     fn usual_after(&self, passed: f64) -> f64 {
-        let moved = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
-        let most = self.usual * (passed / USUAL_DOUBLES.as_secs_f64()).exp2();
-        (self.usual + (self.present - self.usual) * moved).min(most)
+        let weight = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
+        let max = self.usual * (passed / USUAL_DOUBLES.as_secs_f64()).exp2();
+        (self.usual + (self.present - self.usual) * weight).min(max)
     }
 }
 
@@ -199,20 +199,20 @@
 }
 
 /// Compares an account's growth over its usual rate with that of all other accounts together.
-fn surge(now: Instant, own: &Rates, all: &Rates) -> Surge {
-    if !own.is_known(now) || own.present * PRESENT.as_secs_f64() < FEWEST {
+fn surge(now: Instant, account: &Rates, all: &Rates) -> Surge {
+    if !account.is_known(now) || account.present * PRESENT.as_secs_f64() < FEWEST {
         return Surge::None;
     }
-    let others_present = all.present - own.present;
-    let others_usual = all.usual - own.usual;
+    let others_present = all.present - account.present;
+    let others_usual = all.usual - account.usual;
     // If no other account has a usual rate, the account is compared with its own usual rate alone.
-    let others_more = match others_usual > 0.0 {
+    let others_growth = match others_usual > 0.0 {
         true => (others_present / others_usual).max(1.0),
         false => 1.0,
     };
-    let most = own.usual * others_more * MANY_TIMES;
-    match own.present > most {
-        true => Surge::LetIn((most / own.present).max(LEAST_LET_IN)),
+    let threshold = account.usual * others_growth * MANY_TIMES;
+    match account.present > threshold {
+        true => Surge::LetIn((threshold / account.present).max(LEAST_LET_IN)),
         false => Surge::None,
     }
 }
--- a/src/admission/warm_up.rs
+++ b/src/admission/warm_up.rs
@@ -70,8 +70,8 @@
         let bound = warm_up.calls_per_s * self.excess + self.extra;
         let used = warm_up.calls_per_s.min(bound * BOUND_PART).floor();
         // One call may always run if the bound allows one.
-        let least = if bound >= 1.0 { 1.0 } else { 0.0 };
-        used.max(least) as u32
+        let min = if bound >= 1.0 { 1.0 } else { 0.0 };
+        used.max(min) as u32
     }
 }
 
@@ -126,10 +126,10 @@
     pub fn warmth(&mut self, now: Instant, target: &TargetId, warm_up: WarmUp) -> Warmth {
         let calls = self.rule.calls(warm_up) as usize;
         // If there are fewer routers than calls, each router has several of them.
-        let keepers = self.routers.len().clamp(1, calls.max(1));
-        let part = calls / keepers;
-        let is_mine = self.rank(target) < keepers;
-        match is_mine && self.sent_within(now, target) < part {
+        let owners = self.routers.len().clamp(1, calls.max(1));
+        let share = calls / owners;
+        let is_owner = self.rank(target) < owners;
+        match is_owner && self.sent_within(now, target) < share {
             true => Warmth::Shared,
             false => Warmth::Closed,
         }
@@ -163,11 +163,11 @@
         if let Some(rank) = self.ranks.get(target) {
             return *rank;
         }
-        let before = |(me, others): (&VmHash, &[VmHash])| {
+        let ranked_before = |(me, others): (&VmHash, &[VmHash])| {
             let own = draw(*me, target);
             others.iter().filter(|vm| draw(**vm, target) > own).count()
         };
-        let rank = self.routers.split_first().map_or(0, before);
+        let rank = self.routers.split_first().map_or(0, ranked_before);
         self.ranks.insert(target.clone(), rank);
         rank
     }
--- a/src/health.rs
+++ b/src/health.rs
@@ -163,9 +163,12 @@
 
     /// Returns the targets that are stalled or paused at this router, to be reported to peers.
     pub fn suspected_here(&self, now: Instant) -> Vec<TargetHash> {
-        let silent = |t: &&TargetId| self.standing(now, t) >= Standing::Stalled;
+        let is_unresponsive = |t: &&TargetId| self.standing(now, t) >= Standing::Stalled;
         let known = self.records.keys().chain(self.waiting.keys());
-        let mut all: Vec<TargetHash> = known.filter(silent).map(TargetHash::from).collect();
+        let mut all: Vec<TargetHash> = known
+            .filter(is_unresponsive)
+            .map(TargetHash::from)
+            .collect();
         all.sort_unstable();
         all.dedup();
         all
@@ -255,8 +258,8 @@
     fn on_failure(&mut self, now: Instant) {
         self.run += 1;
         self.failing = self.failing * (1.0 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
-        let again = self.paused_until.is_some();
-        if again || self.run >= SUSPECT_RUN || self.failing > SUSPECT_SHARE {
+        let was_paused = self.paused_until.is_some();
+        if was_paused || self.run >= SUSPECT_RUN || self.failing > SUSPECT_SHARE {
             let pause = FIRST_PAUSE * 2u32.saturating_pow(self.pauses.min(8));
             self.paused_until = Some(now + pause.min(LONGEST_PAUSE));
             self.pauses += 1;
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -146,12 +146,12 @@
     /// `None` if there is nothing to report.
     pub fn take_demand(&mut self, now: Instant) -> Option<Demand> {
         let seconds = now.since(self.told).as_secs_f64().max(0.001);
-        let held = self.live_grant(now).unwrap_or_default();
+        let granted = self.live_grant(now).unwrap_or_default();
         let demand = Demand {
             rate_milli: (f64::from(self.arrived) * 1000.0 / seconds) as u64,
             in_flight: self.in_flight + self.turned_away,
-            held_rate_milli: held.rate_milli,
-            held_concurrency: held.concurrency,
+            held_rate_milli: granted.rate_milli,
+            held_concurrency: granted.concurrency,
         };
         self.told = now;
         self.arrived = 0;
@@ -179,8 +179,8 @@
     fn fill(&mut self, now: Instant, rate: f64) {
         let gained = now.since(self.filled).as_secs_f64() * rate;
         // A rate below one request per second still admits one request once enough time has passed.
-        let most = (rate * BURST_SECONDS).max(1.0);
-        self.level = (self.level + gained).min(most);
+        let capacity = (rate * BURST_SECONDS).max(1.0);
+        self.level = (self.level + gained).min(capacity);
         self.filled = now;
     }
 }
@@ -237,22 +237,22 @@
     /// routers.
     fn fair_grant(&self, from: &VmId, limits: AccountLimits) -> Grant {
         let rates = self.demands.iter().map(|(vm, (_, d))| (vm, d.rate_milli));
-        let flights = self
+        let in_flight = self
             .demands
             .iter()
             .map(|(vm, (_, d))| (vm, u64::from(d.in_flight)));
         let others = self.granted.iter().filter(|(vm, _)| *vm != from);
-        let held = others.fold((0, 0), |(rate, concurrency), (_, (_, g))| {
+        let granted = others.fold((0, 0), |(rate, concurrency), (_, (_, g))| {
             (rate + g.rate_milli, concurrency + u64::from(g.concurrency))
         });
-        let part = 1.0 - FLOOR_PART;
-        let rate = (f64::from(limits.requests_per_s) * 1000.0 * part) as u64;
-        let concurrency = (f64::from(limits.concurrency) * part) as u64;
-        let rate_milli = fair_share(rate, rates, from).min(rate.saturating_sub(held.0));
-        let flights = fair_share(concurrency, flights, from);
+        let fraction = 1.0 - FLOOR_PART;
+        let rate = (f64::from(limits.requests_per_s) * 1000.0 * fraction) as u64;
+        let concurrency = (f64::from(limits.concurrency) * fraction) as u64;
+        let rate_milli = fair_share(rate, rates, from).min(rate.saturating_sub(granted.0));
+        let in_flight = fair_share(concurrency, in_flight, from);
         Grant {
             rate_milli,
-            concurrency: flights.min(concurrency.saturating_sub(held.1)) as u32,
+            concurrency: in_flight.min(concurrency.saturating_sub(granted.1)) as u32,
             valid: GRANT_VALID,
         }
     }
@@ -268,17 +268,21 @@
 
 /// Computes the max-min fair share of one router: no router gets more than it demands until all
 /// demands are met, and the remainder is divided evenly.
-fn fair_share<'a>(total: u64, demands: impl Iterator<Item = (&'a VmId, u64)>, whose: &VmId) -> u64 {
+fn fair_share<'a>(
+    total: u64,
+    demands: impl Iterator<Item = (&'a VmId, u64)>,
+    router: &VmId,
+) -> u64 {
     let mut sorted: Vec<_> = demands.collect();
     sorted.sort_by_key(|(vm, d)| (*d, (*vm).clone()));
     let mut left = total;
     let mut share = 0;
     for (i, (vm, demand)) in sorted.iter().enumerate() {
         let even = left / (sorted.len() - i) as u64;
-        let got = even.min(*demand);
-        left -= got;
-        if *vm == whose {
-            share = got;
+        let allotted = even.min(*demand);
+        left -= allotted;
+        if *vm == router {
+            share = allotted;
         }
     }
     // The remainder is divided evenly, so that an increase in demand can be served at once.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -63,11 +63,11 @@
 
     /// Returns whether another target may be tried.
     pub fn may_go_on(self, kind: CallKind, max_attempts: u32) -> bool {
-        let again = match self.begun {
+        let is_repeatable = match self.begun {
             true => kind.is_resumable(),
             false => kind.is_repeatable(),
         };
-        self.sent < max_attempts.max(1) && (!self.may_have_run || again)
+        self.sent < max_attempts.max(1) && (!self.may_have_run || is_repeatable)
     }
 }
 
