--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -1,4 +1,4 @@
-//! What routers tell one another some times a second.
+//! Messages that routers exchange several times a second.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,118 +15,123 @@
 
 use super::{heartbeats::HallRoll, records::Exchange};
 
-/// A moment of one router's clock, as it is sent and echoed.
+/// A reading of one router's clock, sent to a peer and echoed back by it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The life of the router whose clock it is.
+    /// Incarnation of the router whose clock was read.
     pub life: Incarnation,
-    /// Microseconds since that life began.
+    /// Microseconds since that incarnation started.
     pub micros: u64,
 }
 
-/// What a router's VM can bear, in steps of two; the stronger ones do what is done for all.
+/// Capacity class of a router's VM, on a logarithmic scale: each step doubles the capacity.
+///
+/// Fleet-wide duties go to the routers of the higher classes.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Strength(u8);
 
 impl Strength {
-    /// Of a VM with this link and this share of a core; the scarcer of the two decides, where ten
-    /// megabits a second stand beside a tenth of a core.
+    /// Computes the class of a VM from its link and its share of a core.
+    ///
+    /// The scarcer of the two decides; 10 Mbit/s of link are equivalent to a tenth of a core.
     pub fn new(link_mbps: f64, cpu_share: f64) -> Self {
         let steps = (link_mbps / 10.0).min(cpu_share * 10.0).max(1.0).log2();
         Self(steps.floor() as u8)
     }
 
-    /// Half of it.
+    /// Returns the class of half the capacity.
     pub fn half(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// What all routers of one data hall have in progress.
+/// Calls in progress at all routers of one data hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallSum {
-    /// The data hall.
+    /// Data hall that the sum covers.
     pub hall: DataHall,
-    /// How long before it was sent its calls were counted, on average, in milliseconds.
+    /// Mean age of the counts when the sum was sent, in milliseconds.
     pub age_ms: u16,
-    /// The calls.
+    /// Calls in progress per target.
     pub counts: TargetCounts,
 }
 
-/// What all routers of each data hall have in progress.
+/// Calls in progress, with one sum per data hall.
 pub type HallSums = Vec<HallSum>;
 
-/// What travels between routers in one datagram.
+/// Message that one datagram carries between two routers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message<State = Box<Datagram>> {
-    /// What the sender has in progress and knows.
+    /// The sender's calls in progress and its other state.
     State(State),
-    /// What the sender needs of an account's limits, to the router that keeps the account.
+    /// Request for a share of an account's limits, sent to the router that keeps the account.
     ShareAsk {
-        /// The sender.
+        /// VM of the sender.
         from: VmId,
-        /// The account.
+        /// Account whose limits are shared.
         account: ClientAccountId,
-        /// What it needs.
+        /// Demand of the sender.
         demand: Demand,
     },
-    /// What the receiver may use of an account's limits.
+    /// Share of an account's limits that the receiver may use.
     ShareGrant {
-        /// The account.
+        /// Account whose limits are shared.
         account: ClientAccountId,
-        /// The share.
+        /// Granted share.
         grant: Grant,
     },
 }
 
-/// What one router tells another, some times a second.
+/// State that one router sends to another several times a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who tells.
+    /// VM of the sender.
     pub vm: VmId,
-    /// Where it stands.
+    /// Data hall of the sender.
     pub hall: DataHall,
-    /// What its link and processor can bear.
+    /// Capacity class of the sender's link and processor.
     pub strength: Strength,
-    /// Counts the datagrams of one life.
+    /// Sequence number of the datagram within the sender's incarnation.
     pub number: u64,
-    /// When it was sent.
+    /// Time at which the datagram was sent, by the sender's clock.
     pub sent: Stamp,
-    /// The youngest stamp that the sender had from the receiver.
+    /// Latest stamp that the sender received from the receiver.
     pub echo: Option<Stamp>,
-    /// The configuration that the sender applies, and the age of its proof in milliseconds.
+    /// Configuration version that the sender applies, and the age of its proof in milliseconds.
     pub config: Option<(ConfigVersion, u32)>,
-    /// How long ago routers that read the store heard from it, in milliseconds.
+    /// Store readers, each with the time since it last received an answer from the store, in
+    /// milliseconds.
     pub readers: Vec<(VmId, u32)>,
-    /// The revision of the store up to which the sender knows all.
+    /// Store revision up to which the sender has every change.
     pub mirror: StoreRevision,
-    /// How long ago the store answered the sender again after it had not, in milliseconds.
+    /// Time since the store answered the sender again after a failure, in milliseconds.
     pub store_back: Option<u32>,
-    /// Calls that the sender took in the last seconds, to share the retry budget by.
+    /// Number of calls that the sender accepted in the last seconds; the retry budget is divided by
+    /// it.
     pub calls: u32,
-    /// The sender stops and has no part in anything any more.
+    /// Whether the sender is stopping and no longer takes part in any fleet-wide duty.
     pub stopping: bool,
-    /// What the sender has in progress, where that concerns the receiver.
+    /// Calls in progress at the sender, if they concern the receiver.
     pub load: Option<TargetCounts>,
-    /// What all routers of some data halls have in progress, as [`HallSums`] that are encoded
-    /// once for all receivers; empty where the sender does not add up.
+    /// Calls in progress at all routers of some data halls: [`HallSums`], encoded once for all
+    /// receivers. Empty unless the sender aggregates the counts of its data hall.
     pub halls: Vec<u8>,
-    /// Of whom hubs hear, by data hall; empty where the sender is no hub.
+    /// Membership summary of each data hall, as its hub sees it; empty unless the sender is a hub.
     pub rolls: Vec<HallRoll>,
-    /// What the sender knows of who there is.
+    /// Step of a membership comparison.
     pub exchange: Option<Exchange>,
-    /// Rates of accounts; empty most times.
+    /// Request rates of accounts; usually empty.
     pub rates: Vec<RateReport>,
-    /// Targets that just broke off a call at once, at the sender or as it was told.
+    /// Targets that just broke off a call at once, as seen by the sender or reported to it.
     pub outages: Vec<OutageNotice>,
-    /// Targets that ended under requests, found here or heard of.
+    /// Targets that ended while they ran requests, as found by the sender or reported to it.
     pub endings: Vec<EndingNotice>,
-    /// Requests that are held back and not known to be entered in the store; empty most times.
+    /// Requests that are held back and not known to be recorded in the store; usually empty.
     pub held: Vec<HeldNotice>,
-    /// Targets that give the sender no answers.
+    /// Targets that do not answer the sender.
     pub suspected: Vec<TargetHash>,
-    /// Shared parts of prompts that were sent to a target first.
+    /// Shared prompt parts that were sent to a target for the first time.
     pub parts: Vec<(PartId, Tokens, TargetId)>,
 }
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -1,12 +1,14 @@
-//! From whom a router of a large fleet hears what is new in the store.
+//! Distribution of store changes in a large fleet.
 //!
-//! A few routers read the store; each data hall has feeders that ask these, and all others ask a feeder of their hall. So
-//! nobody feeds more than some dozens, whatever the size of the fleet, and what is new, or that nothing is, passes two
-//! routers on its way to the last one.
+//! A few routers read the store. Each data hall has feeders that ask these readers, and all other
+//! routers ask a feeder of their hall. So no router feeds more than a few dozen others, whatever
+//! the size of the fleet, and a change, or the confirmation that there is none, passes through two
+//! routers before it reaches the last one.
 //!
-//! The load pattern that this answers: hundreds of routers before thousands of targets. Three readers that fed all of
-//! them would send each list some hundred times over one link, and the proof of the configuration would come by
-//! datagrams through hubs, each of which adds its pace twice.
+//! The load pattern behind this design is hundreds of routers in front of thousands of targets. If
+//! three readers fed all of them, each reader would send every list several hundred times over one
+//! link. The proof that the configuration is current would have to travel in datagrams through
+//! hubs, each of which adds its send interval twice.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,26 +22,30 @@
     units::Instant,
 };
 
-/// Routers from which on feeders stand between readers and the others.
+/// Fleet size from which feeders stand between the readers and the other routers.
 const FED_FLEET: usize = 128;
 
-/// Routers that one feeds, on average.
+/// Average number of routers per feeder.
 const FED: usize = 24;
 
-/// What feeders are chosen by.
+/// Key by which feeders are selected with rendezvous hashing.
 const FEEDERS_KEY: &str = "store feeders";
 
-/// How long a router that had nothing recent is not asked again, if another one is left.
+/// Interval during which a router that had nothing recent is not asked again, if another one is
+/// left to ask.
 const PARENT_REST: Duration = Duration::from_secs(1);
 
-/// How long feeders that have listed nothing yet wait for a reader before they go to the store themselves.
+/// How long a feeder that has not listed the store yet waits for a reader before it reads the store
+/// itself.
 const FEEDER_WAIT: Duration = Duration::from_secs(5);
 
-/// How long the others wait for a feeder: so long that feeders which went to the store have listed it.
+/// How long the other routers wait for a feeder before they read the store themselves.
+///
+/// Long enough for feeders that had to read the store themselves to have listed it.
 const FED_WAIT: Duration = Duration::from_secs(9);
 
 impl Peers {
-    /// Whether feeders stand between readers and the others.
+    /// Whether feeders stand between the readers and the other routers.
     pub fn is_fed(&self, now: Instant) -> bool {
         self.alive(now) >= FED_FLEET
     }
@@ -49,14 +55,14 @@
         self.feeders_of(now, &self.hall).contains(&&self.me)
     }
 
-    /// A router that was asked had nothing recent, or did not answer.
+    /// Records that the router at `asked` had nothing recent or did not answer.
     pub fn on_had_nothing(&mut self, now: Instant, asked: SocketAddr) {
         self.had_nothing
             .retain(|_, at| now.since(*at) < PARENT_REST);
         self.had_nothing.insert(asked, now);
     }
 
-    /// What a router of a large fleet asks next.
+    /// Returns where a router of a large fleet reads next.
     pub(super) fn next_of_fed(&self, now: Instant, state: &ReadState) -> NextRead {
         let reads = self.is_reader(now) && !state.store_lost;
         let parent = self.parent(now).filter(|_| !reads);
@@ -72,7 +78,10 @@
         }
     }
 
-    /// Whom this router asks: a feeder of its hall, or as a feeder a reader; others while these have nothing.
+    /// Returns the router to ask for store changes.
+    ///
+    /// This is a feeder of the own data hall, or a reader if this router is itself a feeder or a
+    /// reader. The other group is the fallback while these have nothing recent.
     fn parent(&self, now: Instant) -> Option<SocketAddr> {
         let me = self.me.as_str();
         let readers = keepers(me, self.named(now).into_iter(), usize::MAX);
@@ -90,7 +99,8 @@
         addresses.into_iter().find(|address| !rests(address))
     }
 
-    /// The feeders of a data hall: its stronger routers, and others where these are too few.
+    /// Returns the feeders of a data hall: its routers of higher capacity, and others if these are
+    /// too few.
     fn feeders_of(&self, now: Instant, hall: &DataHall) -> Vec<&VmId> {
         let others = self.living_named(now).filter(|(_, p)| p.hall == *hall);
         let others = others.map(|(vm, p)| (vm, p.strength));
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -1,10 +1,12 @@
-//! Who is gone, in a fleet where not all send heartbeats to all.
+//! Failure detection in a fleet where not every router sends heartbeats to every other.
 //!
-//! Routers send heartbeats to the hubs of their data hall some times a second. A hub that has heard nothing of one for
-//! [`pace::silent_after`] reports it gone, and that goes to all in the next datagrams. Every hub also sends a
-//! roll: a digest of those that live in its data hall. A router that comes to the same digest has a heartbeat of all of
-//! them by that, in some bytes; one that does not compares its records with the hub's. So neither what is sent nor how
-//! long a dead router is used grows with the fleet.
+//! Routers send heartbeats to the hubs of their data hall several times a second. A hub that has
+//! received nothing from a router for [`pace::silent_after`] reports it as down, and the next
+//! datagrams carry that report to all routers. Every hub also sends a roll: a digest of the live
+//! routers in its data hall. For a router that computes the same digest, the roll is a heartbeat of
+//! all of them in a few bytes; a router that computes another one compares its records with the
+//! hub's. So neither the traffic nor the time for which a dead router is still used grows with the
+//! size of the fleet.
 
 use std::time::Duration;
 
@@ -17,20 +19,26 @@
     units::Instant,
 };
 
-/// The pause between two ticks from which on this router stood still: ten times the usual one.
+/// Interval between two ticks from which this router is taken to have stalled: ten times the usual
+/// interval.
 const ABSENT: Duration = Duration::from_secs(1);
 
-/// How many times as long as others a router may be silent that this one learned of a moment ago: it may know no hub yet.
+/// Factor on the silence limit for a router that this one learned of recently and has no datagram
+/// from: it may not know any hub yet.
 const NEVER_HEARD: f64 = 4.0;
 
-/// How many times as long one may be silent that this router has not heard since it became its hub: it finds out by the
-/// same silence of the one before.
+/// Factor on the silence limit for a router that has sent nothing since this one became its hub.
+///
+/// Such a router notices that the previous hub is down only after the same silence.
 const JUST_WATCHED: f64 = 1.5;
 
-/// How many times as long as it takes to call a router gone it counts where no roll of its data hall agrees.
+/// Multiple of the silence limit for which a router counts as alive while no roll of its data hall
+/// matches.
 const UNCONFIRMED: u32 = 4;
 
-/// A router's name as a short hash. Of two that share one, a dead one counts while the other lives.
+/// Short hash of a router's name.
+///
+/// If two routers have the same hash, a dead one counts as alive while the other one lives.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct VmHash(u32);
@@ -42,34 +50,34 @@
 }
 
 impl VmHash {
-    /// A number that differs from router to router.
+    /// Returns a number that differs from router to router, to spread them over choices.
     pub(crate) fn spread(self) -> usize {
         self.0 as usize
     }
 }
 
-/// The routers of one data hall that its hub hears of.
+/// Summary of the routers of one data hall from which its hub receives heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallRoll {
     hall: DataHall,
-    /// How long ago the hub made it, in milliseconds.
+    /// Time since the hub made the roll, in milliseconds.
     age_ms: u16,
-    /// The digest of their lives.
+    /// Digest of the incarnations of these routers.
     digest: u64,
-    /// Calls that they took in the last seconds, to share the retry budget by.
+    /// Number of calls that they accepted in the last seconds; the retry budget is divided by it.
     calls: u32,
 }
 
-/// What a hub sends.
+/// Rolls that a hub sends.
 #[derive(Debug, Default)]
 pub struct HubRolls {
-    /// To the routers of its own data hall: of all halls.
+    /// Rolls of all data halls, for the routers of the hub's own data hall.
     pub near: Vec<HallRoll>,
-    /// To the hubs of the others: of its own.
+    /// Roll of the hub's own data hall, for the hubs of the others.
     pub far: Vec<HallRoll>,
 }
 
-/// The last roll of a data hall.
+/// Latest roll of a data hall.
 #[derive(Debug)]
 pub(super) struct KnownRoll {
     at: Instant,
@@ -78,12 +86,14 @@
 }
 
 impl Peers {
-    /// How long a silent router still counts where hubs report who is gone, if none reports anything.
+    /// Returns how long a silent router counts as alive where hubs report failures, if there is no
+    /// report about it.
     pub(super) fn unconfirmed_after(&self) -> Duration {
         pace::silent_after(self.size()) * UNCONFIRMED
     }
 
-    /// What this router sends as a hub, with its own calls of the last seconds.
+    /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
+    /// seconds.
     pub fn hub_rolls(&mut self, now: Instant, own_calls: u32) -> HubRolls {
         let near = self.heard.values().filter(|p| p.hall == self.hall);
         let calls = near.map(|p| p.calls).sum::<u32>() + own_calls;
@@ -112,7 +122,7 @@
         }
     }
 
-    /// Rolls came from a hub, its own or others'.
+    /// Applies rolls from a hub, of its own data hall or of others.
     pub(super) fn on_rolls(&mut self, now: Instant, from: &VmId, rolls: &[HallRoll]) {
         for told in rolls {
             let at = now.before(Duration::from_millis(u64::from(told.age_ms)));
@@ -133,7 +143,7 @@
         }
     }
 
-    /// All that are taken to live in a data hall were heard of.
+    /// Records that all routers that count as alive in a data hall sent a heartbeat.
     fn confirm(&mut self, hall: &DataHall, at: Instant) {
         let here = self.heard.values_mut().filter(|p| p.hall == *hall);
         for peer in here.filter(|p| p.gone_at.is_none()) {
@@ -151,7 +161,7 @@
         now.since(roll.at) < self.unconfirmed_after()
     }
 
-    /// Calls that other routers took in the last seconds.
+    /// Returns the number of calls that other routers accepted in the last seconds.
     pub(super) fn others_calls(&self, now: Instant, own_calls: u32) -> u32 {
         let is_told = |hall: &DataHall| self.rolls.get(hall).is_some_and(|r| self.is_fresh(now, r));
         let told = self.rolls.values().filter(|r| self.is_fresh(now, r));
@@ -161,7 +171,7 @@
         told.saturating_sub(own_part) + unreported.map(|p| p.calls).sum::<u32>()
     }
 
-    /// Reports routers gone that this one has to hear of, once they are silent for long.
+    /// Reports monitored routers as down once they have been silent for too long.
     pub(super) fn observe(&mut self, now: Instant) {
         if !self.is_large(now) {
             self.observing_since = None;
@@ -188,7 +198,7 @@
         self.note_watched(now);
     }
 
-    /// How many times as long as others a router may be silent to this one, which has to hear of it.
+    /// Returns the factor on the silence limit of a router that this one monitors.
     fn patience(&self, now: Instant, peer: &Peer) -> f64 {
         let is_new = now.since(peer.changed_at) < self.unconfirmed_after();
         match () {
@@ -198,7 +208,7 @@
         }
     }
 
-    /// Notes since when this router has to hear of which others.
+    /// Records since when this router monitors each other one.
     fn note_watched(&mut self, now: Instant) {
         let watched = self.watched(now);
         for (vm, peer) in &mut self.heard {
@@ -209,8 +219,12 @@
         }
     }
 
-    /// Those of which this router has to hear, in order: the hub that sends it sums; for a hub its data hall's routers, and
-    /// the hubs of others that send it theirs. A second hub sends to other hubs only while the first one speaks.
+    /// Returns the routers whose heartbeats this one monitors, in order.
+    ///
+    /// A hub monitors the routers of its data hall; any other router monitors the hub that sends it
+    /// sums. A router that aggregates also monitors the first hub of each other data hall, which
+    /// sends it that hall's sums. A second hub sends to other hubs only while the first one is
+    /// silent.
     fn watched(&self, now: Instant) -> Vec<VmId> {
         let own_hubs = self.hubs_of(now, &self.hall);
         let mut watched: Vec<VmId> = match own_hubs.contains(&self.me) {
@@ -229,7 +243,8 @@
         if self.adds_up(now) {
             watched.extend(self.first_far_hubs(now));
         }
-        // Also those that are dead to this router alone: its roll counts all that no hub reported gone.
+        // Includes routers that only this one takes for dead: its roll covers all that no hub
+        // reported as down.
         let is_counted = |vm: &VmId| self.heard.get(vm).is_some_and(|p| p.gone_at.is_none());
         watched.retain(is_counted);
         watched.sort_unstable();
@@ -237,8 +252,11 @@
         watched
     }
 
-    /// If this router stood still from one tick to the next, who lived before has as long as ever to be heard of. Else it would take the whole fleet's
-    /// budget of repeats until the next datagrams (1 of 7 routers alive, `tests/peers.rs`).
+    /// Restarts the silence limits of all routers that were alive if this router stalled between
+    /// two ticks.
+    ///
+    /// Otherwise it would take the whole fleet's retry budget for itself until the next datagrams
+    /// arrive (1 of 7 routers alive, `tests/peers.rs`).
     pub(super) fn excuse_silence(&mut self, before: Instant, now: Instant) {
         if now.since(before) < ABSENT {
             return;
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -1,5 +1,5 @@
-//! Hubs of a large fleet: who adds up what a data hall's routers have in progress, and whom they
-//! tell.
+//! Hubs of a large fleet: which routers aggregate the counts of calls in progress in a data hall,
+//! and to which routers they send them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,16 +14,18 @@
     units::Instant,
 };
 
-/// Routers from which on counts go through hubs: below, all tell all at a kilobyte a second each.
+/// Fleet size from which counts go through hubs; below it, every router sends to every other at 1
+/// kB/s each.
 pub(super) const LARGE_FLEET: usize = 16;
 
-/// Hubs of one data hall; the second stands in for the first.
+/// Number of hubs of one data hall; the second replaces the first when that fails.
 const HUBS: usize = 2;
 
-/// How long it is remembered who the hubs are, if nothing is news of who lives: to name them takes a look at all routers.
+/// How long the list of hubs is cached while no router joins or leaves: computing it visits all
+/// routers.
 const HUBS_REMEMBERED: Duration = Duration::from_millis(400);
 
-/// Who the hubs of each data hall are, as it was last worked out.
+/// Cached list of the hubs of each data hall.
 #[derive(Debug, Default)]
 pub(super) struct HubTable {
     at: Option<Instant>,
@@ -31,7 +33,7 @@
 }
 
 impl HubTable {
-    /// Something is news of who lives.
+    /// Invalidates the list, since a router joined or left.
     pub(super) fn forget(&mut self) {
         self.at = None;
     }
@@ -48,8 +50,10 @@
         self.alive(now) >= LARGE_FLEET
     }
 
-    /// The peers that are told counts as they change: hubs, and for the one that adds up for its
-    /// data hall that hall's routers.
+    /// Returns the peers that receive counts as they change.
+    ///
+    /// These are the hubs of the own data hall; for the router that aggregates, they are the
+    /// routers of its data hall and the aggregating hubs of the others.
     pub fn close_ones(&self, now: Instant) -> Vec<Receiver> {
         if !self.adds_up(now) {
             let hubs = self.hubs_of(now, &self.hall).into_iter();
@@ -62,8 +66,8 @@
             .collect()
     }
 
-    /// Whether this router adds up the counts of its data hall: its first hub does, or the second
-    /// while the first one is silent.
+    /// Whether this router aggregates the counts of its data hall: the first hub does, or the
+    /// second one while the first is silent.
     pub fn adds_up(&self, now: Instant) -> bool {
         match self.hubs_of(now, &self.hall).as_slice() {
             [first, ..] if *first == self.me => true,
@@ -82,8 +86,10 @@
         peer.is_none_or(|p| now.since(p.heard) >= silent_after)
     }
 
-    /// The routers that keep a thing together, of the stronger ones: those that bear at least half
-    /// of what the strongest bears, unless they are too few.
+    /// Returns the `n` routers that keep `thing` together, selected among those of higher capacity.
+    ///
+    /// Candidates have at least half the capacity of the strongest router, unless fewer than `n`
+    /// have.
     pub(super) fn strong_keepers<'a>(
         thing: &str,
         routers: impl Iterator<Item = (&'a VmId, Strength)>,
@@ -99,14 +105,14 @@
         keepers(thing, all.into_iter().map(|(vm, _)| vm), n)
     }
 
-    /// All that live with what they bear, this router included.
+    /// Returns all live routers with their capacity class, this one included.
     pub(super) fn strengths(&self, now: Instant) -> impl Iterator<Item = (&VmId, Strength)> {
         let others = self.living_named(now).map(|(vm, p)| (vm, p.strength));
         others.chain(std::iter::once((&self.me, self.strength)))
     }
 
-    /// The hubs that add up for the other data halls: the first one of each, and the second as well
-    /// while that is silent.
+    /// Returns the hubs that aggregate for the other data halls: the first one of each, and the
+    /// second one as well while the first is silent.
     pub(super) fn far_hubs(&self, now: Instant) -> Vec<VmId> {
         self.name_hubs(now);
         let table = self.hubs.borrow();
@@ -119,7 +125,7 @@
         others.flat_map(adding).collect()
     }
 
-    /// The first hub of each other data hall.
+    /// Returns the first hub of each other data hall.
     pub(super) fn first_far_hubs(&self, now: Instant) -> Vec<VmId> {
         self.name_hubs(now);
         let table = self.hubs.borrow();
@@ -135,7 +141,7 @@
         table.hubs.get(hall).cloned().unwrap_or_default()
     }
 
-    /// Works out who the hubs are, unless that was done a moment ago.
+    /// Recomputes the list of hubs unless the cached one is recent.
     fn name_hubs(&self, now: Instant) {
         let mut table = self.hubs.borrow_mut();
         if table.is_fresh(now) {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which other routers live, and who of them does what is done for all.
+//! Fleet membership: which other routers are alive, and which of them perform fleet-wide duties.
 
 pub mod datagram;
 mod feeders;
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! One other router, as this one knows it.
+//! State that this router holds about one other router.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,18 @@
 
 use std::time::Duration;
 
-/// Silence of a router's known life after which one that is numbered lower counts: twice what a
-/// router lets pass between two datagrams, also in a fleet of some hundred.
+/// Silence of a router's known incarnation after which one with a lower number is accepted.
+///
+/// Twice the longest interval between two datagrams of a router, also in a fleet of several
+/// hundred.
 const LIFE_SILENT: Duration = Duration::from_secs(1);
 
-/// How long a router may be silent in a fleet of some size.
+/// Limits on the silence of a router, which depend on the size of the fleet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Silence {
-    /// To those that have to hear of it.
+    /// Limit towards the routers that monitor it.
     pub(super) silent_after: Duration,
-    /// Where nobody reports it gone.
+    /// Limit if no router reports it as down.
     pub(super) counts_for: Duration,
 }
 
@@ -34,33 +36,34 @@
     pub(super) hall: DataHall,
     pub(super) strength: Strength,
     pub(super) hash: VmHash,
-    /// Its last datagram; before the first, when others had heard of it.
+    /// When its last datagram arrived; before the first one, when others last received a heartbeat
+    /// of it.
     pub(super) heard: Instant,
-    /// The youngest heartbeat that others reported.
+    /// Latest heartbeat that other routers reported.
     pub(super) reported_heard: Option<Instant>,
-    /// Since when it is silent to those that have to hear of it, or stops.
+    /// Since when it is silent to the routers that monitor it, or stops.
     pub(super) gone_at: Option<Instant>,
-    /// When this router came to know of it, or of a change of whether it lives.
+    /// When this router learned of it, or of the last change of whether it is alive.
     pub(super) changed_at: Instant,
-    /// Since when this router has to hear of it.
+    /// Since when this router monitors its heartbeats.
     pub(super) watched_since: Option<Instant>,
-    /// When a call to it last brought no answer, since it was last heard itself.
+    /// When a call to it last got no answer; cleared by its next datagram.
     pub(super) unreachable_at: Option<Instant>,
-    /// Its life, and the moment of it in its last datagram; zero before the first.
+    /// Its incarnation, and its clock in its last datagram; the clock is zero before the first one.
     pub(super) stamp: Stamp,
-    /// The life before this one, of which datagrams may still be on their way.
+    /// Previous incarnation, whose datagrams may still arrive.
     pub(super) former_life: Option<Incarnation>,
-    /// Of its last datagram; 0 before the first.
+    /// Sequence number of its last datagram; 0 before the first one.
     pub(super) number: u64,
     pub(super) calls: u32,
     pub(super) stopping: bool,
     pub(super) mirror: StoreRevision,
-    /// When the peer last heard from the store, if it reads it.
+    /// When the peer last received an answer from the store, if it reads it.
     pub(super) store_heard: Option<Instant>,
 }
 
 impl Peer {
-    /// By its own datagram; `before` is what was known of it.
+    /// Builds the state from the router's own datagram; `before` is the previous state.
     pub(super) fn heard(
         now: Instant,
         from: SocketAddr,
@@ -96,7 +99,8 @@
         }
     }
 
-    /// By a record of a peer, which last heard of it at `heard`.
+    /// Builds the state from a record that a peer sent; `heard` is the time of the last heartbeat
+    /// in it.
     pub(super) fn from_record(
         told: &MemberRecord,
         now: Instant,
@@ -127,37 +131,43 @@
         }
     }
 
-    /// Which start of it is known.
+    /// Returns the known incarnation.
     pub(super) fn life(&self) -> Incarnation {
         self.stamp.life
     }
 
-    /// Whether it was heard itself.
+    /// Whether the router itself has sent a datagram.
     pub(super) fn is_direct(&self) -> bool {
         self.number > 0
     }
 
-    /// Whether a life is over that is not this one. Lives are numbered by the time of day, which
-    /// may have been set back: an earlier number counts once the known life is silent.
+    /// Whether `life`, an incarnation other than the known one, is over.
+    ///
+    /// Incarnations are numbered by the time of day, which may have been set back: a lower number
+    /// is accepted once the known incarnation is silent.
     pub(super) fn is_of_the_past(&self, now: Instant, life: Incarnation) -> bool {
         let speaks = now.since(self.heard) < LIFE_SILENT;
         self.former_life == Some(life) || (self.life() > life && speaks)
     }
 
-    /// Whether another life that others report may have begun after this one. One that is numbered lower has to speak
-    /// for itself.
+    /// Whether `life`, an incarnation that others report, may be a later one than the known one.
+    ///
+    /// One with a lower number is accepted only from the router's own datagrams.
     pub(super) fn may_be_followed_by(&self, life: Incarnation) -> bool {
         self.former_life != Some(life) && life > self.life()
     }
 
-    /// Its last heartbeat.
+    /// Returns the time of its last heartbeat, received directly or reported.
     pub(super) fn last_heartbeat(&self) -> Instant {
         self.reported_heard
             .map_or(self.heard, |at| at.max(self.heard))
     }
 
-    /// Whether it lives, if one that is silent counts for so long. One that did not answer a call is back once others
-    /// heard of it since; what they report is older than it says by `silent_after` at the most.
+    /// Whether the router is alive, given the limits on its silence.
+    ///
+    /// A router that did not answer a call is alive again once others report a later heartbeat. The
+    /// true time of a reported heartbeat is earlier than the reported one by `silent_after` at the
+    /// most.
     pub(super) fn lives(&self, now: Instant, limits: Silence) -> bool {
         let heartbeat = self.last_heartbeat();
         let back = |at: Instant| heartbeat > at + limits.silent_after;
@@ -167,21 +177,21 @@
     }
 }
 
-/// A peer to send to.
+/// A peer to send datagrams to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Receiver {
-    /// Its name, once it was heard of.
+    /// Its VM, if known.
     pub vm: Option<VmId>,
-    /// Its data hall, once it was heard of.
+    /// Its data hall, if known.
     pub hall: Option<DataHall>,
-    /// Where it is reached.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// The youngest stamp that was heard from it.
+    /// Latest stamp received from it.
     pub echo: Option<Stamp>,
 }
 
 impl Receiver {
-    /// A router of which only the address is known.
+    /// Returns a receiver of which only the address is known.
     pub(super) fn at(address: SocketAddr) -> Self {
         Self {
             vm: None,
@@ -191,7 +201,7 @@
         }
     }
 
-    /// A known peer.
+    /// Returns the receiver for a known peer.
     pub(super) fn of((vm, peer): (&VmId, &Peer)) -> Self {
         Self {
             vm: Some(vm.clone()),
@@ -202,34 +212,34 @@
     }
 }
 
-/// What is believed of a router.
+/// State of a router as this one sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It was heard of a moment ago.
+    /// It sent a heartbeat recently.
     Alive,
-    /// It said that it stops.
+    /// It announced that it stops.
     Stopping,
     /// It is silent.
     Dead,
 }
 
 impl MemberState {
-    /// Whether it counts.
+    /// Whether the router counts as a live member.
     pub fn is_alive(self) -> bool {
         self == Self::Alive
     }
 }
 
-/// Another router, for operators.
+/// Another router as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct Member {
     /// Its VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Its data hall.
     pub data_hall: DataHall,
-    /// What is believed of it.
+    /// Its state as this router sees it.
     pub state: MemberState,
-    /// How long ago it was last heard of, in milliseconds.
+    /// Time since its last known heartbeat, in milliseconds.
     pub silent_ms: u64,
 }
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -1,9 +1,11 @@
-//! Which other routers live, by the datagrams that they send.
+//! The other routers of the fleet and whether they are alive, from the datagrams that they send.
 //!
-//! In a small fleet each router sends to all others, some times a second, what it has in progress and
-//! how old its knowledge is; whoever is silent for long counts as gone. In a large one it sends that to two hubs of its
-//! data hall; one of them adds up and sends the sums to the hall's routers and the other halls' hubs, also who is gone
-//! ([`super::heartbeats`]). Who there is they learn from one another ([`super::records`]).
+//! In a small fleet each router sends its calls in progress and the age of its information to all
+//! others, several times a second; a router that is silent for too long counts as down. In a large
+//! fleet it sends this to two hubs of its data hall. One of them aggregates the counts and sends
+//! the sums, and reports of routers that are down, to the routers of its data hall and to the hubs
+//! of the others ([`super::heartbeats`]). Routers learn from one another which others exist
+//! ([`super::records`]).
 
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -25,30 +27,31 @@
     units::Instant,
 };
 
-/// How long a silent peer counts as alive in a small fleet.
+/// Silence up to which a peer counts as alive in a small fleet.
 const ALIVE_FOR: Duration = PEER_EXPIRES;
 
-/// How long the address of a silent peer is still written to: it may only be cut off.
+/// How long datagrams still go to the address of a silent peer, which may only be cut off.
 pub(super) const ADDRESS_KEPT: Duration = Duration::from_mins(1);
 
-/// Routers that tell a peer that joined what it missed; two, as one may be about to go.
+/// Number of routers that send a peer that joined what it missed; two, as one may be about to stop.
 const TEACHERS: usize = 2;
 
-/// How long a peer that joined is not sent the same again: one that some reach and others don't joins over and over.
+/// Interval before a peer that joined is sent the same data again: a peer that only some routers
+/// reach joins again and again.
 const TEACH_AGAIN: Duration = Duration::from_secs(10);
 
-/// What a datagram changed.
+/// Result of processing a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// It is older than what was heard before.
+    /// The datagram is older than one that was processed before.
     Outdated,
-    /// The peer was not alive before, or began a new life.
+    /// The peer was not alive before, or started a new incarnation.
     Joined,
-    /// It was known.
+    /// The peer was known.
     Known,
 }
 
-/// The other routers.
+/// All other routers that this one knows.
 #[derive(Debug)]
 pub struct Peers {
     pub(super) me: VmId,
@@ -58,22 +61,22 @@
     pub(super) own_address: SocketAddr,
     pub(super) heard: BTreeMap<VmId, Peer>,
     pub(super) unheard: BTreeMap<SocketAddr, Instant>,
-    /// The last roll of each data hall.
+    /// Latest roll of each data hall.
     pub(super) rolls: BTreeMap<DataHall, KnownRoll>,
     pub(super) comparing: Comparing,
-    /// Since when this router knows that it has to hear of others.
+    /// Since when this router monitors others.
     pub(super) observing_since: Option<Instant>,
     pub(super) hubs: RefCell<HubTable>,
-    /// Routers that had nothing recent when they were asked, with when.
+    /// Routers that had nothing recent when they were asked, and when that was.
     pub(super) had_nothing: BTreeMap<SocketAddr, Instant>,
-    /// Peers that were sent what they had missed: which life of each, and when.
+    /// Peers that were sent what they had missed: the incarnation of each, and when.
     taught: BTreeMap<VmId, (Incarnation, Instant)>,
-    /// The last tick.
+    /// Time of the last tick.
     ticked: Option<Instant>,
 }
 
 impl Peers {
-    /// None but the addresses to begin with.
+    /// Creates a membership view that knows only the seed addresses.
     pub fn new(
         me: VmId,
         hall: DataHall,
@@ -104,7 +107,7 @@
         peers
     }
 
-    /// A place where a router may be reached.
+    /// Adds an address at which a router may be reached.
     pub fn on_address(&mut self, now: Instant, address: SocketAddr) {
         let known = self.heard.values().any(|p| p.address == address);
         if !known && address != self.own_address {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// A datagram came.
+    /// Processes a datagram from a peer.
     pub fn on_datagram(&mut self, now: Instant, from: SocketAddr, told: &Datagram) -> Heard {
         if told.vm == self.me {
             return Heard::Outdated;
@@ -124,7 +127,7 @@
                 return Heard::Outdated;
             }
             Some(p) if p.is_of_the_past(now, told.sent.life) => return Heard::Outdated,
-            // One that stops is still the same life, and needs nothing told.
+            // A peer that stops is still the same incarnation, and needs no data.
             Some(p) if p.life() == told.sent.life && (lived || p.stopping) => Heard::Known,
             _ if told.stopping => Heard::Known,
             _ => Heard::Joined,
@@ -141,7 +144,8 @@
         heard
     }
 
-    /// A call to a router brought no answer: it counts as gone until it is heard of again.
+    /// Marks a router that did not answer a call as down until it sends a datagram or others report
+    /// a later heartbeat.
     pub fn on_unreachable(&mut self, now: Instant, address: SocketAddr) {
         for peer in self.heard.values_mut().filter(|p| p.address == address) {
             peer.unreachable_at = Some(now);
@@ -149,7 +153,8 @@
         self.hubs.borrow_mut().forget();
     }
 
-    /// What a datagram vouches for, if it answers one of this life.
+    /// Returns the confirmation of the configuration in a datagram, if it answers one of this
+    /// incarnation.
     pub fn vouch(&self, told: &Datagram) -> Option<Vouch> {
         let echo = told.echo.filter(|stamp| stamp.life == self.life)?;
         let (version, age_ms) = told.config?;
@@ -160,14 +165,14 @@
         })
     }
 
-    /// All peers, and all places where one may be.
+    /// Returns all known peers and all addresses where one may be.
     pub fn everyone(&self) -> Vec<Receiver> {
         let heard = self.heard.iter().map(Receiver::of);
         let unheard = self.unheard.keys().map(|address| Receiver::at(*address));
         heard.chain(unheard).collect()
     }
 
-    /// Forgets peers that are silent for long, and those that stopped.
+    /// Detects failures, and removes peers and addresses that have been silent for too long.
     pub fn on_tick(&mut self, now: Instant) {
         let before = self.ticked.replace(now).unwrap_or(now);
         self.excuse_silence(before, now);
@@ -177,13 +182,14 @@
         self.unheard.retain(|_, since| keep(*since));
     }
 
-    /// Whether this router is one of the few that tell a peer that joined what the fleet knows.
+    /// Whether this router is one of the few that send a peer that joined the state of the fleet.
     pub fn is_teacher_of(&self, now: Instant, joined: &VmId) -> bool {
         let all = self.names(now).filter(|vm| *vm != joined);
         keepers(joined.as_str(), all, TEACHERS).contains(&&self.me)
     }
 
-    /// Whether this router is to send a peer that joined what it missed now.
+    /// Whether this router has to send a peer that joined what it missed; if so, records that it
+    /// does.
     pub fn take_teaching(&mut self, now: Instant, joined: &VmId) -> bool {
         self.taught
             .retain(|_, (_, at)| now.since(*at) < TEACH_AGAIN);
@@ -198,18 +204,18 @@
         is_due
     }
 
-    /// Whether this router is the one that looks after a thing for all.
+    /// Whether this router is the keeper of `thing` for the fleet.
     pub fn is_keeper_of(&self, now: Instant, thing: &str) -> bool {
         self.keeper_of(now, thing).is_none()
     }
 
-    /// Where the router is that looks after a thing for all; `None` if it is this one.
+    /// Returns the address of the router that is the keeper of `thing`; `None` if it is this one.
     pub fn keeper_of(&self, now: Instant, thing: &str) -> Option<SocketAddr> {
         let keeper = keeper(thing, self.names(now))?;
         self.heard.get(keeper).map(|p| p.address)
     }
 
-    /// The other routers that were heard of, each with its data hall and whether it lives.
+    /// Returns all other known routers, each with its data hall and state.
     pub fn members(&self, now: Instant) -> Vec<Member> {
         let silence = self.silence();
         let member = |(vm, p): (&VmId, &Peer)| Member {
@@ -225,23 +231,23 @@
         self.heard.iter().map(member).collect()
     }
 
-    /// Where the other routers are that live.
+    /// Returns the addresses of the other live routers.
     pub fn addresses(&self, now: Instant) -> Vec<SocketAddr> {
         self.living(now).map(|p| p.address).collect()
     }
 
-    /// Where a router is reached.
+    /// Returns the address of a router.
     pub fn address_of(&self, vm: &VmId) -> Option<SocketAddr> {
         self.heard.get(vm).map(|p| p.address)
     }
 
-    /// The names of all that live, this router's included.
+    /// Returns the names of all live routers, this one included.
     pub(super) fn names(&self, now: Instant) -> impl Iterator<Item = &VmId> {
         let living = self.living_named(now).map(|(vm, _)| vm);
         living.chain(std::iter::once(&self.me))
     }
 
-    /// The routers that live as short hashes, this one's first.
+    /// Returns the short hashes of all live routers, this one first.
     pub fn hashes(&self, now: Instant) -> Vec<VmHash> {
         let others = self.living(now).map(|p| p.hash);
         std::iter::once(VmHash::from(&self.me))
@@ -249,23 +255,26 @@
             .collect()
     }
 
-    /// Routers that live, this one included.
+    /// Returns the number of live routers, this one included.
     pub fn alive(&self, now: Instant) -> usize {
         1 + self.living(now).count()
     }
 
-    /// This router's part of the fleet's calls, from its own calls and its peers'.
+    /// Returns this router's share of the fleet's calls, from its own number of calls and that of
+    /// its peers.
     pub fn share(&self, now: Instant, own_calls: u32) -> f64 {
         let others = self.others_calls(now, own_calls);
         let even = 1.0 / self.alive(now) as f64;
         match own_calls + others {
             0 => even,
-            // Half by calls and half evenly: a router that had few calls may need repeats now.
+            // Half by calls and half evenly: a router that had few calls so far may need retries
+            // now.
             all => f64::midpoint(f64::from(own_calls) / f64::from(all), even),
         }
     }
 
-    /// How long a router may be silent. In a small fleet all hear of all.
+    /// Returns the limits on the silence of a router. In a small fleet every router receives
+    /// heartbeats from every other.
     fn silence(&self) -> Silence {
         let counts_for = match self.heard.len() + 1 < LARGE_FLEET {
             true => ALIVE_FOR,
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store for all, and whom the others ask.
+//! Which routers read the store on behalf of the fleet, and which router the others ask.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,100 +9,117 @@
     units::{Instant, StoreRevision},
 };
 
-/// Routers that read the store for all: with a third of the routers cut off from it, one of three
-/// still reaches it nearly always. Where none does, as many of those that do stand in.
+/// Number of routers that read the store on behalf of the fleet.
+///
+/// If a third of the routers are cut off from the store, one of three nearly always still reaches
+/// it. If none does, as many of the routers that reach it replace them.
 const READERS: usize = 3;
 
-/// What readers are chosen by.
+/// Key by which readers are selected with rendezvous hashing.
 const READERS_KEY: &str = "store readers";
 
-/// How long ago a reader may have heard from the store for others to rely on that reader: a watch, its
-/// pause and a datagram. Two seconds after a change all have to know it, also where it came right
-/// after all readers were cut off.
+/// Maximum time since a reader's last answer from the store for others to rely on that reader: one
+/// watch, its pause and a datagram.
+///
+/// All routers have to know a change after two seconds, even if it is made right after all readers
+/// were cut off.
 const READER_FRESH: Duration = Duration::from_millis(1_500);
 
-/// How long after its start a router still waits to hear from a reader before it goes to the
-/// store itself. Routers that start together do not know one another yet.
+/// How long after its start a router waits for a reader before it reads the store itself.
+///
+/// Routers that start together do not know one another yet.
 const FIRST_WAIT: Duration = Duration::from_millis(700);
 
-/// What each router that it has heard of adds to that wait: the readers of a fleet that starts
-/// together must have listed all targets, and told some of the others, before all go there at once.
+/// Addition to that wait per live router: before all routers go to the store at once, the readers
+/// of a fleet that starts together must have listed all targets and passed them on to some of the
+/// others.
 const FIRST_WAIT_PER_ROUTER: Duration = Duration::from_millis(8);
 
-/// How long routers of a fleet that starts for the first time let one another be found: processes
-/// start within some tenths of a second, and it takes some rounds of datagrams from the few addresses
-/// that are known.
+/// How long the routers of a fleet that starts for the first time only discover one another.
+///
+/// Processes start within some tenths of a second, and discovery takes several rounds of datagrams
+/// from the few known addresses.
 const FIND_ONE_ANOTHER: Duration = Duration::from_millis(800);
 
-/// How long those that are no readers then wait for one: nobody serves yet, and readers
-/// of up to a hundred routers have fed them all by then.
+/// How long after its start a non-reader of such a fleet waits for a reader.
+///
+/// No router serves calls yet, and the readers of up to a hundred routers have fed them all by
+/// then.
 const FIRST_START_WAIT: Duration = Duration::from_millis(2_500);
 
-/// The pause of a router that is no reader between its own calls to a store that does not answer: each
-/// call has its price, and the readers will know first. Meanwhile it asks any reader that turns up.
+/// Minimum interval between a non-reader's own calls to a store that does not answer.
+///
+/// Each call has a cost, and the readers notice first that the store is back. In the meantime it
+/// asks any reader that appears.
 const BYSTANDER_LEAST: Duration = Duration::from_millis(1_500);
 
-/// What each router that lives adds to that pause, so that a fleet of hundreds does not call a store that
-/// is down 200 times a second: some of them find its return as soon as few that call often.
+/// Addition to that interval per live router, so that a fleet of hundreds does not call a store
+/// that is down 200 times a second. Many routers that call rarely notice its return as soon as a
+/// few that call often.
 const BYSTANDER_PER_ROUTER: Duration = Duration::from_millis(50);
 
-/// The longest such pause: a router whose peers are gone without its knowledge comes back by itself.
+/// Maximum of that interval: a router that does not know that its peers are gone recovers by
+/// itself.
 const BYSTANDER_LONGEST: Duration = Duration::from_secs(5);
 
-/// How long a router that starts later than the first time waits to hear of any other: one of those whose addresses it
-/// knows answers within this, if it lives.
+/// How long a router that starts later than the first time waits for a datagram of any other: a
+/// live router at one of the known addresses answers within this time.
 const LOOK_AROUND: Duration = Duration::from_millis(250);
 
-/// Routers from which on one that starts waits until it knows the others: else each of a fleet that starts together lists
-/// all targets by itself, which takes the store longer than it takes the routers to find one another.
+/// Fleet size from which a starting router waits until it knows the others.
+///
+/// Otherwise each router of a fleet that starts together lists all targets by itself, which takes
+/// the store longer than the routers take to discover one another.
 const MANY: usize = 32;
 
-/// The longest wait for that where nobody serves yet.
+/// Maximum of that wait while no router serves calls yet.
 const SETTLE_LONGEST: Duration = Duration::from_secs(4);
 
-/// The longest such wait where callers wait: some dozens of routers that take themselves for readers cost less than that.
+/// Maximum of that wait while clients wait: a few dozen routers that take themselves for readers
+/// cost less than a longer wait.
 const SETTLE_LATER: Duration = Duration::from_millis(1_500);
 
 /// Whether the whole fleet starts for the first time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum FleetStart {
-    /// Nobody serves yet: routers find one another before a few of them read the store.
+    /// No router serves calls yet: routers discover one another before a few of them read the
+    /// store.
     First,
-    /// Others may serve, or callers wait: the store is read at once.
+    /// Others may serve calls already, or clients are waiting: the store is read at once.
     #[default]
     Later,
 }
 
-/// How a router stands to the store.
+/// State of this router's access to the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReadState {
-    /// It has listed the store's entries once, or was told them.
+    /// Whether it has listed the store's entries once, or received them from a peer.
     pub listed: bool,
-    /// The store did not answer its last call.
+    /// Whether the store failed to answer its last call.
     pub store_lost: bool,
-    /// It heard from the store itself a moment ago.
+    /// Whether it recently received an answer from the store itself.
     pub reads_store: bool,
-    /// The revision up to which it knows all.
+    /// Store revision up to which it has every change.
     pub revision: StoreRevision,
     /// Whether the whole fleet starts for the first time.
     pub start: FleetStart,
-    /// When it may call the store again.
+    /// Earliest time of its next call to the store.
     pub retry_at: Instant,
 }
 
-/// Whom a router asks next for what is new in the store.
+/// Source that a router asks next for changes in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextRead {
-    /// A peer.
+    /// The peer at this address.
     Ask(SocketAddr),
     /// The store itself.
     Store,
-    /// Nobody yet; a reader may turn up any moment.
+    /// None yet; a reader may appear at any moment.
     Wait,
 }
 
 impl Peers {
-    /// Whom to ask next.
+    /// Returns the source to ask next.
     pub fn next_read(&self, now: Instant, state: &ReadState) -> NextRead {
         if self.looks_around(now, state.start) {
             return NextRead::Wait;
@@ -115,7 +132,7 @@
             FleetStart::First => FIRST_START_WAIT,
             FleetStart::Later => FIRST_WAIT + FIRST_WAIT_PER_ROUTER * self.alive(now) as u32,
         };
-        // Without the store, what any peer still knows is better than nothing.
+        // While the store does not answer, what any peer still knows is better than nothing.
         let ahead = self.ahead(now, state.revision);
         let ahead = ahead.filter(|_| state.listed || state.store_lost);
         match ahead.or_else(|| self.reader(now)) {
@@ -126,7 +143,7 @@
         }
     }
 
-    /// Whether this router has just started and does not know yet who else there is.
+    /// Whether this router has just started and is still discovering the others.
     fn looks_around(&self, now: Instant, start: FleetStart) -> bool {
         let alone = self.heard.is_empty();
         let (finds_others, longest) = match start {
@@ -140,38 +157,43 @@
         finds_others || learns
     }
 
-    /// Whether this router reads the store for all, named or as a stand-in.
+    /// Whether this router reads the store on behalf of the fleet, as a designated reader or as a
+    /// substitute.
     fn reads_for_all(&self, now: Instant, state: &ReadState) -> bool {
         self.is_reader(now) || (state.reads_store && self.stands_in(now))
     }
 
-    /// The pause of a router that is no reader between its own calls to a store that does not answer.
+    /// Returns the interval between a non-reader's own calls to a store that does not answer.
     pub fn bystander_backoff(&self, now: Instant) -> Duration {
         let paced = BYSTANDER_PER_ROUTER * self.alive(now) as u32;
         paced.clamp(BYSTANDER_LEAST, BYSTANDER_LONGEST)
     }
 
-    /// Whether this router is one of those that are named to read the store for all.
+    /// Whether this router is one of the designated readers.
     pub fn is_reader(&self, now: Instant) -> bool {
         self.named(now).contains(&&self.me)
     }
 
-    /// Whether this router, which has read the store a moment ago, goes on to read it for all. Had
-    /// it stopped at once, all that stand in would ask one another and none the store.
+    /// Whether this router, which read the store recently, continues to read it on behalf of the
+    /// fleet.
+    ///
+    /// If it stopped at once, all substitutes would ask one another and none would ask the store.
     pub fn stands_in(&self, now: Instant) -> bool {
         self.acting(now, Some(&self.me)).contains(&&self.me)
     }
 
-    /// A peer that reads the store and heard from it a moment ago; routers spread over them.
+    /// Returns a peer that recently received an answer from the store; the choice spreads the
+    /// routers over these peers.
     pub fn reader(&self, now: Instant) -> Option<SocketAddr> {
         let acting = self.acting(now, None);
         let chosen = keeper(self.me.as_str(), acting.into_iter())?;
         self.heard.get(chosen).map(|p| p.address)
     }
 
-    /// How long ago the peers that read the store heard from it, in milliseconds.
+    /// Returns the acting readers, each with the time since its last answer from the store, in
+    /// milliseconds.
     pub fn readers(&self, now: Instant) -> Vec<(VmId, u32)> {
-        // Those that are fed hear of it from whoever feeds them.
+        // Routers behind feeders learn of changes from their feeder.
         if self.is_fed(now) {
             return Vec::new();
         }
@@ -184,19 +206,19 @@
         told.collect()
     }
 
-    /// A peer that knows more of the store than up to a revision.
+    /// Returns the peer with the highest store revision, if it is beyond `revision`.
     pub fn ahead(&self, now: Instant, revision: StoreRevision) -> Option<SocketAddr> {
         let ahead = self.living(now).filter(|p| p.mirror > revision);
         ahead.max_by_key(|p| p.mirror).map(|p| p.address)
     }
 
-    /// The revision of the store up to which a peer said that it knows all.
+    /// Returns the store revision that a peer announced: it has every change up to it.
     pub fn mirror_of(&self, address: SocketAddr) -> Option<StoreRevision> {
         let peer = self.heard.values().find(|p| p.address == address);
         peer.map(|p| p.mirror)
     }
 
-    /// A peer announced when readers last heard from the store.
+    /// Applies a peer's report of when readers last received an answer from the store.
     pub(super) fn on_store_readers(&mut self, now: Instant, told: &[(VmId, u32)]) {
         for (reader, age_ms) in told {
             let age = Duration::from_millis(u64::from(*age_ms));
@@ -211,8 +233,8 @@
         Self::strong_keepers(READERS_KEY, self.strengths(now), READERS)
     }
 
-    /// Of the routers that heard from the store a moment ago, `me` included if given: those that are named,
-    /// or where none of these is among them, a few.
+    /// Returns the designated readers that recently received an answer from the store, `me`
+    /// included if given; if there are none, a few other routers that did.
     fn acting<'a>(&'a self, now: Instant, me: Option<&'a VmId>) -> Vec<&'a VmId> {
         let fresh = |(_, p): &(&VmId, &Peer)| self.is_fresh_reader(now, p);
         let fresh = self.heard.iter().filter(fresh);
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,8 +1,9 @@
-//! How routers learn of one another.
+//! Exchange of membership records between routers.
 //!
-//! Two routers compare digests of whom they take to live, and send each other the records in which they differ. So what
-//! is sent follows what changed, and a router that starts learns of all others from the first ones it reaches: nothing
-//! waits for a datagram between each two routers, which takes a time in proportion to their number.
+//! Two routers compare digests of the members that they know, and send each other the records in
+//! which they differ. So the traffic is proportional to what changed, and a router that starts
+//! learns of all others from the first ones it reaches. No step waits for a datagram between each
+//! pair of routers, which would take a time in proportion to their number.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,45 +22,50 @@
     units::Instant,
 };
 
-/// The parts by which two routers find where they differ: a few routers in each at the size to design for.
+/// Number of buckets by which two routers locate their differences: a few routers per bucket at the
+/// design size.
 const BUCKETS: usize = 256;
 
-/// Records in one datagram: some kilobytes.
+/// Maximum number of records in one datagram: a few kilobytes.
 const RECORDS_SENT: usize = 96;
 
-/// Records that a router sends a second at the most, as one of few that a whole fleet asks at its start: three
-/// megabits a second.
+/// Maximum number of records that a router sends per second: 3 Mbit/s. It may be one of few that a
+/// whole fleet asks when it starts.
 const RECORDS_A_SECOND: f64 = 8_192.0;
 
-/// Records that may be sent at once after a calm moment.
+/// Maximum number of records that may be sent at once after a quiet period.
 const RECORDS_AT_ONCE: f64 = 1_024.0;
 
-/// How often a router compares with another one.
+/// Interval between two comparisons with other routers.
 const COMPARE_EVERY: Duration = Duration::from_millis(500);
 
-/// How often it does while it still learns of others.
+/// Interval between two comparisons while this router still learns of others.
 const COMPARE_AT_FIRST: Duration = Duration::from_millis(100);
 
-/// How long after the last router that was news others may be missing.
+/// Time after the last change in the membership from which no more changes are expected.
 const SETTLED_AFTER: Duration = Duration::from_millis(500);
 
-/// One in so many comparisons is with a router that counts as gone: two halves of a fleet that could not reach each
-/// other find out that they can.
+/// One in this many comparisons is with a router that counts as down, so that two halves of a fleet
+/// that were separated discover that they can reach each other again.
 const TRY_GONE_EVERY: u64 = 4;
 
-/// One in so many comparisons is with a router of another data hall, where one of this hall is known: bytes between halls
-/// are dear, and hubs tell of changes elsewhere.
+/// One in this many comparisons may be with a router of another data hall even if one of this hall
+/// is known: traffic between halls is expensive, and hubs report changes elsewhere.
 const TRY_FAR_EVERY: u64 = 4;
 
-/// How long hubs go on to send a change: a few datagrams may be lost.
+/// How long hubs repeat a change: a few datagrams may be lost.
 const CHANGE_SENT_FOR: Duration = Duration::from_secs(2);
 
-/// How much older than a router's last known heartbeat the notice of its end may be, and how much younger a heartbeat has to
-/// be to bring it back: moments travel as ages.
+/// Tolerance when a down report and a heartbeat are compared, as times travel as ages.
+///
+/// A down report may be older than the last known heartbeat by this much, and a heartbeat must be
+/// younger than the down report by this much to bring the router back.
 const GONE_SLACK: Duration = Duration::from_secs(1);
 
-/// What is added to the age of a heartbeat that a peer reports, more than its way takes: one that passes from router to
-/// router must not grow younger, or a dead router would live on in reports for ever.
+/// Addition to the age of a heartbeat that a peer reports, more than its transmission takes.
+///
+/// A heartbeat that passes from router to router must not grow younger, or reports would keep a
+/// dead router alive for ever.
 const REPORTED_OLDER: Duration = Duration::from_millis(100);
 
 /// One router, as another one knows it.
@@ -67,69 +73,69 @@
 pub struct MemberRecord {
     /// Its VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Its data hall.
     pub hall: DataHall,
-    /// What it can bear.
+    /// Its capacity class.
     pub strength: Strength,
-    /// Where its peers reach it.
+    /// Address at which its peers reach it.
     pub address: SocketAddr,
-    /// Which start of it is meant.
+    /// Its incarnation.
     pub life: Incarnation,
-    /// Whether it lives.
+    /// Whether it is alive.
     pub state: RecordState,
 }
 
-/// What a record says of a router's life.
+/// State of the router in a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordState {
-    /// It lives.
+    /// It is alive.
     Alive {
-        /// How long ago it was heard of, in milliseconds.
+        /// Time since its last heartbeat, in milliseconds.
         heard_ms: u32,
     },
     /// It is silent, or stops.
     Gone {
-        /// Since when, in milliseconds.
+        /// Time since it became so, in milliseconds.
         since_ms: u32,
     },
 }
 
-/// One step of a comparison.
+/// Step of a comparison.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Exchange {
-    /// The digest of all that live, and how many these are.
+    /// First step: the digest of all members that the sender knows.
     Compare {
-        /// Of all that live.
+        /// Digest of all routers that no peer reported as down.
         digest: u64,
-        /// Routers that live.
+        /// Number of routers in the digest.
         routers: u32,
     },
-    /// The answer where the digests differ: those of each part.
+    /// Answer if the digests differ: the digests of the buckets.
     Differ {
-        /// By part.
+        /// Digest of each bucket.
         buckets: Vec<u32>,
-        /// Routers that live.
+        /// Number of routers in the digests.
         routers: u32,
     },
-    /// The answer to that: what the sender holds in parts that differ, and its own digests.
+    /// Answer to these: the sender's records in buckets that differ, and its own digests.
     Reply {
-        /// What it holds.
+        /// Records of the sender.
         records: Vec<MemberRecord>,
-        /// By part.
+        /// Digest of each bucket.
         buckets: Vec<u32>,
     },
-    /// What the sender holds in parts that differ, or what changed a moment ago.
+    /// The sender's records in buckets that differ, or recent changes.
     Records(Vec<MemberRecord>),
 }
 
-/// How far this router is with learning of others.
+/// Progress of this router in learning of others.
 #[derive(Debug)]
 pub(super) struct Comparing {
-    /// When something was news last.
+    /// Time of the last change in the membership.
     news_at: Instant,
-    /// The most routers that a peer knew.
+    /// Highest number of routers that a peer reported.
     routers_reported: u32,
-    /// A hub whose hall differs from what is known here.
+    /// Address of a hub whose roll differs from what is known here.
     differs_from: Option<SocketAddr>,
     turn: u64,
     records_left: f64,
@@ -158,7 +164,7 @@
         self.differs_from = Some(from);
     }
 
-    /// How many of so many records may be sent now.
+    /// Takes up to `wanted` records from the rate limit; returns how many may be sent now.
     fn take_records(&mut self, now: Instant, wanted: usize) -> usize {
         let more = now.since(self.refilled).as_secs_f64() * RECORDS_A_SECOND;
         self.refilled = now;
@@ -169,7 +175,7 @@
     }
 }
 
-/// A life of a router as a number.
+/// Returns the hash of one incarnation of a router.
 pub(super) fn life_hash(vm: &VmId, life: Incarnation) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), life.0)
 }
@@ -179,7 +185,7 @@
 }
 
 impl Peers {
-    /// How long until the next comparison.
+    /// Returns the interval until the next comparison.
     pub fn compare_pause(&self, now: Instant) -> Duration {
         let learns = !self.is_settled(now) || self.comparing.differs_from.is_some();
         match learns {
@@ -188,17 +194,18 @@
         }
     }
 
-    /// Whether nothing was news of who there is for a moment.
+    /// Whether the membership has not changed recently.
     pub fn is_settled(&self, now: Instant) -> bool {
         now.since(self.comparing.news_at) >= SETTLED_AFTER
     }
 
-    /// The size of the fleet, as far as it is known or was reported.
+    /// Returns the number of routers in the fleet, as known here or reported by a peer, whichever
+    /// is higher.
     pub fn size(&self) -> usize {
         (self.heard.len() + 1).max(self.comparing.routers_reported as usize)
     }
 
-    /// With whom to compare next: a hub that knows otherwise, or any router.
+    /// Returns the router to compare with next: a hub whose roll differs, or a random router.
     pub fn compare_with(&mut self, now: Instant) -> Option<Receiver> {
         self.comparing.turn += 1;
         let turn = self.comparing.turn;
@@ -227,7 +234,7 @@
         (drawn < candidates.len()).then(|| candidates.swap_remove(drawn))
     }
 
-    /// The first step.
+    /// Returns the first step of a comparison.
     pub fn compare(&self) -> Exchange {
         let lives = self.counted().map(|(vm, life)| life_hash(vm, life));
         Exchange::Compare {
@@ -236,7 +243,9 @@
         }
     }
 
-    /// What a datagram's step is answered with; nothing where the two know the same. Its records must have been taken in.
+    /// Returns the answer to the step in a datagram; `None` if both sides know the same.
+    ///
+    /// The records in the datagram must have been applied before.
     pub fn answer(&mut self, now: Instant, told: &Datagram) -> Option<Exchange> {
         match told.exchange.as_ref()? {
             Exchange::Compare { digest, routers } => {
@@ -264,7 +273,7 @@
         }
     }
 
-    /// What changed a moment ago, for those to which this router sends as a hub.
+    /// Returns recent changes, for the routers to which this one sends as a hub.
     pub fn changes(&self, now: Instant) -> Vec<MemberRecord> {
         let lately = |p: &&Peer| now.since(p.changed_at) < CHANGE_SENT_FOR;
         let mut changed: Vec<(&VmId, &Peer)> =
@@ -275,7 +284,7 @@
         records.map(|(vm, p)| record(now, vm, p)).collect()
     }
 
-    /// Takes in records of a peer; returns whom they brought to life here.
+    /// Applies the records in a datagram; returns the routers that became alive by them.
     pub fn on_records(&mut self, now: Instant, told: &Datagram) -> Vec<VmId> {
         let Some(Exchange::Records(records) | Exchange::Reply { records, .. }) = &told.exchange
         else {
@@ -287,7 +296,7 @@
         joined.map(|r| r.vm).collect()
     }
 
-    /// Returns whether the router came to life.
+    /// Applies one record; returns whether the router became alive.
     fn on_record(&mut self, now: Instant, told: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
         let silent_after = pace::silent_after(self.size());
@@ -313,7 +322,8 @@
             }
             (Some(peer), RecordState::Gone { since_ms }) if peer.life() == told.life => {
                 let since = ago(since_ms);
-                // Where two halls can't reach each other and a third reaches both, each takes the other's hubs for gone.
+                // Where two halls cannot reach each other and a third reaches both, each takes the
+                // other's hubs for down.
                 let speaks = peer.is_direct() && now.since(peer.heard) < silent_after;
                 let is_older = peer.last_heartbeat() <= since + GONE_SLACK;
                 let is_news = peer.gone_at.is_none() && is_older && !speaks;
@@ -352,7 +362,8 @@
         gone_at.is_none()
     }
 
-    /// What is held in the parts that differ, from another part on each time, as much as may be sent.
+    /// Returns the records in buckets that differ, as many as may be sent; each call starts at
+    /// another bucket.
     fn differing(&mut self, now: Instant, theirs: &[u32]) -> Vec<MemberRecord> {
         let own = self.buckets();
         let differs = |b: usize| theirs.get(b) != Some(&own[b]);
@@ -390,14 +401,15 @@
         buckets
     }
 
-    /// The lives that digests count: all that no peer reported gone, this router's included.
+    /// Returns the incarnations that digests cover: all that no peer reported as down, this router
+    /// included.
     pub(super) fn counted(&self) -> impl Iterator<Item = (&VmId, Incarnation)> {
         let others = self.heard.iter().filter(|(_, p)| p.gone_at.is_none());
         let others = others.map(|(vm, p)| (vm, p.life()));
         others.chain(std::iter::once((&self.me, self.life)))
     }
 
-    /// Something is news of a router.
+    /// Records a change in what is known of a router.
     pub(super) fn on_change(&mut self, now: Instant, vm: &VmId) {
         if let Some(peer) = self.heard.get_mut(vm) {
             peer.changed_at = now;
