--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -64,15 +64,15 @@
 
     /// Returns where a router of a large fleet reads next.
     pub(super) fn next_of_fed(&self, now: Instant, state: &ReadState) -> NextRead {
-        let reads = self.is_reader(now) && !state.store_lost;
-        let parent = self.parent(now).filter(|_| !reads);
-        let waits_for = match self.is_feeder(now) {
+        let reads_store = self.is_reader(now) && !state.store_lost;
+        let parent = self.parent(now).filter(|_| !reads_store);
+        let max_wait = match self.is_feeder(now) {
             true => FEEDER_WAIT,
             false => FED_WAIT,
         };
         match parent {
             Some(parent) => NextRead::Ask(parent),
-            None if !reads && !state.listed && now.0 < waits_for => NextRead::Wait,
+            None if !reads_store && !state.listed && now.0 < max_wait => NextRead::Wait,
             None if now < state.retry_at => NextRead::Wait,
             None => NextRead::Store,
         }
@@ -87,16 +87,16 @@
         let readers = keepers(me, self.named(now).into_iter(), usize::MAX);
         let feeders = self.feeders_of(now, &self.hall);
         let feeders = keepers(me, feeders.into_iter(), usize::MAX);
-        let asked = match feeders.contains(&&self.me) || readers.contains(&&self.me) {
+        let candidates = match feeders.contains(&&self.me) || readers.contains(&&self.me) {
             true => readers.into_iter().chain(feeders),
             false => feeders.into_iter().chain(readers),
         };
-        let rests = |address: &SocketAddr| {
+        let is_paused = |address: &SocketAddr| {
             let at = self.had_nothing.get(address);
             at.is_some_and(|at| now.since(*at) < PARENT_REST)
         };
-        let addresses = asked.filter_map(|vm| self.heard.get(vm).map(|p| p.address));
-        addresses.into_iter().find(|address| !rests(address))
+        let addresses = candidates.filter_map(|vm| self.heard.get(vm).map(|p| p.address));
+        addresses.into_iter().find(|address| !is_paused(address))
     }
 
     /// Returns the feeders of a data hall: its routers of higher capacity, and others if these are
@@ -108,14 +108,14 @@
         let here: Vec<_> = others.chain(me).collect();
         let wanted = here.len().div_ceil(FED);
         let strongest = here.iter().map(|(_, strength)| *strength).max();
-        let least = strongest.unwrap_or_default().half();
-        let (strong, weak): (Vec<_>, Vec<_>) = here.into_iter().partition(|r| r.1 >= least);
-        let named = |routers: Vec<(_, _)>, n| {
+        let minimum = strongest.unwrap_or_default().half();
+        let (strong, weak): (Vec<_>, Vec<_>) = here.into_iter().partition(|r| r.1 >= minimum);
+        let select = |routers: Vec<(_, _)>, n| {
             let names = routers.into_iter().map(|(vm, _)| vm);
             keepers(FEEDERS_KEY, names, n)
         };
-        let mut feeders = named(strong, wanted);
-        feeders.extend(named(weak, wanted - feeders.len()));
+        let mut feeders = select(strong, wanted);
+        feeders.extend(select(weak, wanted - feeders.len()));
         feeders
     }
 }
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -124,16 +124,16 @@
 
     /// Applies rolls from a hub, of its own data hall or of others.
     pub(super) fn on_rolls(&mut self, now: Instant, from: &VmId, rolls: &[HallRoll]) {
-        for told in rolls {
-            let at = now.before(Duration::from_millis(u64::from(told.age_ms)));
-            if self.rolls.get(&told.hall).is_some_and(|r| r.at >= at) {
+        for received in rolls {
+            let at = now.before(Duration::from_millis(u64::from(received.age_ms)));
+            if self.rolls.get(&received.hall).is_some_and(|r| r.at >= at) {
                 continue;
             }
-            let (digest, calls) = (told.digest, told.calls);
+            let (digest, calls) = (received.digest, received.calls);
             let roll = KnownRoll { at, digest, calls };
-            self.rolls.insert(told.hall.clone(), roll);
-            match self.hall_digest(&told.hall) == told.digest {
-                true => self.confirm(&told.hall, at),
+            self.rolls.insert(received.hall.clone(), roll);
+            match self.hall_digest(&received.hall) == received.digest {
+                true => self.confirm(&received.hall, at),
                 false => {
                     let from = self.heard.get(from).map(|p| p.address);
                     from.into_iter()
@@ -163,12 +163,17 @@
 
     /// Returns the number of calls that other routers accepted in the last seconds.
     pub(super) fn others_calls(&self, now: Instant, own_calls: u32) -> u32 {
-        let is_told = |hall: &DataHall| self.rolls.get(hall).is_some_and(|r| self.is_fresh(now, r));
-        let told = self.rolls.values().filter(|r| self.is_fresh(now, r));
-        let told: u32 = told.map(|r| r.calls).sum();
-        let own_part = if is_told(&self.hall) { own_calls } else { 0 };
-        let unreported = self.living(now).filter(|p| !is_told(&p.hall));
-        told.saturating_sub(own_part) + unreported.map(|p| p.calls).sum::<u32>()
+        let has_fresh_roll =
+            |hall: &DataHall| self.rolls.get(hall).is_some_and(|r| self.is_fresh(now, r));
+        let reported = self.rolls.values().filter(|r| self.is_fresh(now, r));
+        let reported: u32 = reported.map(|r| r.calls).sum();
+        let own_reported = if has_fresh_roll(&self.hall) {
+            own_calls
+        } else {
+            0
+        };
+        let unreported = self.living(now).filter(|p| !has_fresh_roll(&p.hall));
+        reported.saturating_sub(own_reported) + unreported.map(|p| p.calls).sum::<u32>()
     }
 
     /// Reports monitored routers as down once they have been silent for too long.
@@ -233,11 +238,11 @@
                 near.map(|(vm, _)| vm.clone()).collect()
             }
             false => {
-                let first_speaks = own_hubs
+                let first_is_up = own_hubs
                     .first()
                     .is_some_and(|hub| !self.is_silent(now, hub));
-                let speaking = if first_speaks { 1 } else { own_hubs.len() };
-                own_hubs.into_iter().take(speaking).collect()
+                let senders = if first_is_up { 1 } else { own_hubs.len() };
+                own_hubs.into_iter().take(senders).collect()
             }
         };
         if self.adds_up(now) {
@@ -261,8 +266,8 @@
         if now.since(before) < ABSENT {
             return;
         }
-        let lived: Vec<VmId> = self.names(before).cloned().collect();
-        for vm in lived {
+        let were_alive: Vec<VmId> = self.names(before).cloned().collect();
+        for vm in were_alive {
             if let Some(peer) = self.heard.get_mut(&vm) {
                 peer.heard = now.before(before.since(peer.last_heartbeat()));
             }
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -91,7 +91,7 @@
     /// Candidates have at least half the capacity of the strongest router, unless fewer than `n`
     /// have.
     pub(super) fn strong_keepers<'a>(
-        thing: &str,
+        key: &str,
         routers: impl Iterator<Item = (&'a VmId, Strength)>,
         n: usize,
     ) -> Vec<&'a VmId> {
@@ -100,9 +100,9 @@
         strengths.sort_unstable_by(|a, b| b.cmp(a));
         let strongest = strengths.first().copied().unwrap_or_default();
         let nth = strengths.get(n.saturating_sub(1)).copied();
-        let least = strongest.half().min(nth.unwrap_or_default());
-        all.retain(|(_, strength)| *strength >= least);
-        keepers(thing, all.into_iter().map(|(vm, _)| vm), n)
+        let minimum = strongest.half().min(nth.unwrap_or_default());
+        all.retain(|(_, strength)| *strength >= minimum);
+        keepers(key, all.into_iter().map(|(vm, _)| vm), n)
     }
 
     /// Returns all live routers with their capacity class, this one included.
@@ -117,12 +117,12 @@
         self.name_hubs(now);
         let table = self.hubs.borrow();
         let others = table.hubs.iter().filter(|(hall, _)| **hall != self.hall);
-        let adding = |(_, hubs): (_, &Vec<VmId>)| {
-            let first_speaks = hubs.first().is_some_and(|hub| !self.is_silent(now, hub));
-            let adding = hubs.iter().take(if first_speaks { 1 } else { HUBS });
-            adding.cloned().collect::<Vec<_>>()
+        let aggregators = |(_, hubs): (_, &Vec<VmId>)| {
+            let first_is_up = hubs.first().is_some_and(|hub| !self.is_silent(now, hub));
+            let aggregators = hubs.iter().take(if first_is_up { 1 } else { HUBS });
+            aggregators.cloned().collect::<Vec<_>>()
         };
-        others.flat_map(adding).collect()
+        others.flat_map(aggregators).collect()
     }
 
     /// Returns the first hub of each other data hall.
--- a/src/membership/pace.rs
+++ b/src/membership/pace.rs
@@ -61,9 +61,9 @@
 
 /// Returns the longest interval between two datagrams of a router to its hubs.
 fn heartbeat_every(routers: usize) -> Duration {
-    let tell = tell_every(routers);
-    let tellings = QUIET_TIME.div_duration_f64(tell).ceil().max(1.0);
-    tell.mul_f64(tellings)
+    let interval = tell_every(routers);
+    let intervals = QUIET_TIME.div_duration_f64(interval).ceil().max(1.0);
+    interval.mul_f64(intervals)
 }
 
 /// Returns how long a router may be silent to those that monitor it.
@@ -101,16 +101,16 @@
 impl Pace {
     /// Returns the interval to the next send in a fleet of `routers`, and what is sent at its end.
     pub fn next(&mut self, routers: u32) -> (Duration, Telling) {
-        let all_every = tell_every(routers as usize);
-        let parts = all_every.div_duration_f64(TELL_EVERY).round().max(1.0) as u32;
+        let full_interval = tell_every(routers as usize);
+        let parts = full_interval.div_duration_f64(TELL_EVERY).round().max(1.0) as u32;
         self.told += 1;
-        let telling = match self.told >= parts {
+        let content = match self.told >= parts {
             true => Telling::All,
             false => Telling::Hints,
         };
-        if telling == Telling::All {
+        if content == Telling::All {
             self.told = 0;
         }
-        (all_every / parts, telling)
+        (full_interval / parts, content)
     }
 }
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -67,34 +67,34 @@
     pub(super) fn heard(
         now: Instant,
         from: SocketAddr,
-        told: &Datagram,
+        datagram: &Datagram,
         before: Option<&Self>,
     ) -> Self {
-        let same_life = before.filter(|p| p.life() == told.sent.life);
+        let same_life = before.filter(|p| p.life() == datagram.sent.life);
         let former_life = match same_life {
             Some(p) => p.former_life,
             None => before.map(Self::life),
         };
         Self {
             address: from,
-            hall: told.hall.clone(),
-            strength: told.strength,
-            hash: VmHash::from(&told.vm),
+            hall: datagram.hall.clone(),
+            strength: datagram.strength,
+            hash: VmHash::from(&datagram.vm),
             heard: now,
             reported_heard: None,
-            gone_at: told.stopping.then(|| {
+            gone_at: datagram.stopping.then(|| {
                 let since = same_life.and_then(|p| p.gone_at);
                 since.unwrap_or(now)
             }),
             changed_at: same_life.map_or(now, |p| p.changed_at),
             watched_since: same_life.and_then(|p| p.watched_since),
             unreachable_at: None,
-            stamp: told.sent,
+            stamp: datagram.sent,
             former_life,
-            number: told.number,
-            calls: told.calls,
-            stopping: told.stopping,
-            mirror: told.mirror,
+            number: datagram.number,
+            calls: datagram.calls,
+            stopping: datagram.stopping,
+            mirror: datagram.mirror,
             store_heard: before.and_then(|p| p.store_heard),
         }
     }
@@ -102,16 +102,16 @@
     /// Builds the state from a record that a peer sent; `heard` is the time of the last heartbeat
     /// in it.
     pub(super) fn from_record(
-        told: &MemberRecord,
+        record: &MemberRecord,
         now: Instant,
         heard: Instant,
         gone_at: Option<Instant>,
     ) -> Self {
         Self {
-            address: told.address,
-            hall: told.hall.clone(),
-            strength: told.strength,
-            hash: VmHash::from(&told.vm),
+            address: record.address,
+            hall: record.hall.clone(),
+            strength: record.strength,
+            hash: VmHash::from(&record.vm),
             heard,
             reported_heard: None,
             gone_at,
@@ -119,7 +119,7 @@
             watched_since: None,
             unreachable_at: None,
             stamp: Stamp {
-                life: told.life,
+                life: record.life,
                 micros: 0,
             },
             former_life: None,
@@ -145,16 +145,16 @@
     ///
     /// Incarnations are numbered by the time of day, which may have been set back: a lower number
     /// is accepted once the known incarnation is silent.
-    pub(super) fn is_of_the_past(&self, now: Instant, life: Incarnation) -> bool {
-        let speaks = now.since(self.heard) < LIFE_SILENT;
-        self.former_life == Some(life) || (self.life() > life && speaks)
+    pub(super) fn is_of_the_past(&self, now: Instant, other: Incarnation) -> bool {
+        let is_active = now.since(self.heard) < LIFE_SILENT;
+        self.former_life == Some(other) || (self.life() > other && is_active)
     }
 
     /// Whether `life`, an incarnation that others report, may be a later one than the known one.
     ///
     /// One with a lower number is accepted only from the router's own datagrams.
-    pub(super) fn may_be_followed_by(&self, life: Incarnation) -> bool {
-        self.former_life != Some(life) && life > self.life()
+    pub(super) fn may_be_followed_by(&self, other: Incarnation) -> bool {
+        self.former_life != Some(other) && other > self.life()
     }
 
     /// Returns the time of its last heartbeat, received directly or reported.
@@ -170,10 +170,10 @@
     /// most.
     pub(super) fn lives(&self, now: Instant, limits: Silence) -> bool {
         let heartbeat = self.last_heartbeat();
-        let back = |at: Instant| heartbeat > at + limits.silent_after;
-        let is_reached = self.unreachable_at.is_none_or(back);
-        let is_out = self.stopping || self.gone_at.is_some();
-        !is_out && is_reached && now.since(heartbeat) < limits.counts_for
+        let is_back = |at: Instant| heartbeat > at + limits.silent_after;
+        let is_reachable = self.unreachable_at.is_none_or(is_back);
+        let is_down = self.stopping || self.gone_at.is_some();
+        !is_down && is_reachable && now.since(heartbeat) < limits.counts_for
     }
 }
 
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -116,30 +116,30 @@
     }
 
     /// Processes a datagram from a peer.
-    pub fn on_datagram(&mut self, now: Instant, from: SocketAddr, told: &Datagram) -> Heard {
-        if told.vm == self.me {
+    pub fn on_datagram(&mut self, now: Instant, from: SocketAddr, datagram: &Datagram) -> Heard {
+        if datagram.vm == self.me {
             return Heard::Outdated;
         }
-        let before = self.heard.get(&told.vm);
-        let lived = before.is_some_and(|p| p.lives(now, self.silence()));
+        let before = self.heard.get(&datagram.vm);
+        let was_alive = before.is_some_and(|p| p.lives(now, self.silence()));
         let heard = match before {
-            Some(p) if p.life() == told.sent.life && p.number >= told.number => {
+            Some(p) if p.life() == datagram.sent.life && p.number >= datagram.number => {
                 return Heard::Outdated;
             }
-            Some(p) if p.is_of_the_past(now, told.sent.life) => return Heard::Outdated,
+            Some(p) if p.is_of_the_past(now, datagram.sent.life) => return Heard::Outdated,
             // A peer that stops is still the same incarnation, and needs no data.
-            Some(p) if p.life() == told.sent.life && (lived || p.stopping) => Heard::Known,
-            _ if told.stopping => Heard::Known,
+            Some(p) if p.life() == datagram.sent.life && (was_alive || p.stopping) => Heard::Known,
+            _ if datagram.stopping => Heard::Known,
             _ => Heard::Joined,
         };
-        let peer = Peer::heard(now, from, told, before);
-        let is_change = lived == told.stopping || heard == Heard::Joined;
-        self.heard.insert(told.vm.clone(), peer);
+        let peer = Peer::heard(now, from, datagram, before);
+        let is_change = was_alive == datagram.stopping || heard == Heard::Joined;
+        self.heard.insert(datagram.vm.clone(), peer);
         if is_change {
-            self.on_change(now, &told.vm);
+            self.on_change(now, &datagram.vm);
         }
-        self.on_store_readers(now, &told.readers);
-        self.on_rolls(now, &told.vm, &told.rolls);
+        self.on_store_readers(now, &datagram.readers);
+        self.on_rolls(now, &datagram.vm, &datagram.rolls);
         self.unheard.remove(&from);
         heard
     }
@@ -155,9 +155,9 @@
 
     /// Returns the confirmation of the configuration in a datagram, if it answers one of this
     /// incarnation.
-    pub fn vouch(&self, told: &Datagram) -> Option<Vouch> {
-        let echo = told.echo.filter(|stamp| stamp.life == self.life)?;
-        let (version, age_ms) = told.config?;
+    pub fn vouch(&self, datagram: &Datagram) -> Option<Vouch> {
+        let echo = datagram.echo.filter(|stamp| stamp.life == self.life)?;
+        let (version, age_ms) = datagram.config?;
         Some(Vouch {
             echo: Instant(Duration::from_micros(echo.micros)),
             age: Duration::from_millis(u64::from(age_ms)),
@@ -184,8 +184,8 @@
 
     /// Whether this router is one of the few that send a peer that joined the state of the fleet.
     pub fn is_teacher_of(&self, now: Instant, joined: &VmId) -> bool {
-        let all = self.names(now).filter(|vm| *vm != joined);
-        keepers(joined.as_str(), all, TEACHERS).contains(&&self.me)
+        let others = self.names(now).filter(|vm| *vm != joined);
+        keepers(joined.as_str(), others, TEACHERS).contains(&&self.me)
     }
 
     /// Whether this router has to send a peer that joined what it missed; if so, records that it
@@ -196,8 +196,8 @@
         let Some(life) = self.heard.get(joined).map(Peer::life) else {
             return false;
         };
-        let knows = self.taught.get(joined).is_some_and(|(l, _)| *l == life);
-        let is_due = !knows && self.is_teacher_of(now, joined);
+        let was_sent = self.taught.get(joined).is_some_and(|(l, _)| *l == life);
+        let is_due = !was_sent && self.is_teacher_of(now, joined);
         if is_due {
             self.taught.insert(joined.clone(), (life, now));
         }
@@ -205,13 +205,13 @@
     }
 
     /// Whether this router is the keeper of `thing` for the fleet.
-    pub fn is_keeper_of(&self, now: Instant, thing: &str) -> bool {
-        self.keeper_of(now, thing).is_none()
+    pub fn is_keeper_of(&self, now: Instant, key: &str) -> bool {
+        self.keeper_of(now, key).is_none()
     }
 
     /// Returns the address of the router that is the keeper of `thing`; `None` if it is this one.
-    pub fn keeper_of(&self, now: Instant, thing: &str) -> Option<SocketAddr> {
-        let keeper = keeper(thing, self.names(now))?;
+    pub fn keeper_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
+        let keeper = keeper(key, self.names(now))?;
         self.heard.get(keeper).map(|p| p.address)
     }
 
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -145,16 +145,16 @@
 
     /// Whether this router has just started and is still discovering the others.
     fn looks_around(&self, now: Instant, start: FleetStart) -> bool {
-        let alone = self.heard.is_empty();
-        let (finds_others, longest) = match start {
+        let knows_none = self.heard.is_empty();
+        let (is_discovering, longest) = match start {
             FleetStart::First => (now.0 < FIND_ONE_ANOTHER, SETTLE_LONGEST),
             FleetStart::Later => {
-                let waits = alone && !self.unheard.is_empty();
+                let waits = knows_none && !self.unheard.is_empty();
                 (now.0 < LOOK_AROUND && waits, SETTLE_LATER)
             }
         };
-        let learns = self.size() >= MANY && !self.is_settled(now) && now.0 < longest;
-        finds_others || learns
+        let is_learning = self.size() >= MANY && !self.is_settled(now) && now.0 < longest;
+        is_discovering || is_learning
     }
 
     /// Whether this router reads the store on behalf of the fleet, as a designated reader or as a
@@ -165,8 +165,8 @@
 
     /// Returns the interval between a non-reader's own calls to a store that does not answer.
     pub fn bystander_backoff(&self, now: Instant) -> Duration {
-        let paced = BYSTANDER_PER_ROUTER * self.alive(now) as u32;
-        paced.clamp(BYSTANDER_LEAST, BYSTANDER_LONGEST)
+        let interval = BYSTANDER_PER_ROUTER * self.alive(now) as u32;
+        interval.clamp(BYSTANDER_LEAST, BYSTANDER_LONGEST)
     }
 
     /// Whether this router is one of the designated readers.
@@ -202,8 +202,8 @@
             now.since(heard).as_millis() as u32
         };
         let acting = self.acting(now, None).into_iter();
-        let told = acting.filter_map(|vm| self.heard.get(vm).map(|p| (vm.clone(), age(p))));
-        told.collect()
+        let ages = acting.filter_map(|vm| self.heard.get(vm).map(|p| (vm.clone(), age(p))));
+        ages.collect()
     }
 
     /// Returns the peer with the highest store revision, if it is beyond `revision`.
@@ -219,8 +219,8 @@
     }
 
     /// Applies a peer's report of when readers last received an answer from the store.
-    pub(super) fn on_store_readers(&mut self, now: Instant, told: &[(VmId, u32)]) {
-        for (reader, age_ms) in told {
+    pub(super) fn on_store_readers(&mut self, now: Instant, ages: &[(VmId, u32)]) {
+        for (reader, age_ms) in ages {
             let age = Duration::from_millis(u64::from(*age_ms));
             let heard = Instant(now.0.saturating_sub(age));
             if let Some(peer) = self.heard.get_mut(reader) {
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -187,8 +187,8 @@
 impl Peers {
     /// Returns the interval until the next comparison.
     pub fn compare_pause(&self, now: Instant) -> Duration {
-        let learns = !self.is_settled(now) || self.comparing.differs_from.is_some();
-        match learns {
+        let is_learning = !self.is_settled(now) || self.comparing.differs_from.is_some();
+        match is_learning {
             true => COMPARE_AT_FIRST,
             false => COMPARE_EVERY,
         }
@@ -216,11 +216,12 @@
         let tries_gone = turn.is_multiple_of(TRY_GONE_EVERY);
         let tries_far = turn % TRY_FAR_EVERY == 1;
         let is_near = |p: &Peer| p.hall == self.hall || tries_far || tries_gone;
-        let wanted = |p: &Peer| is_near(p) && self.is_alive(now, p) != tries_gone && !p.stopping;
+        let is_candidate =
+            |p: &Peer| is_near(p) && self.is_alive(now, p) != tries_gone && !p.stopping;
         let living = self
             .heard
             .iter()
-            .filter(|(_, p)| wanted(p))
+            .filter(|(_, p)| is_candidate(p))
             .map(Receiver::of);
         let unheard = self.unheard.keys().map(|address| Receiver::at(*address));
         let mut candidates: Vec<Receiver> = living.chain(unheard).collect();
@@ -246,8 +247,8 @@
     /// Returns the answer to the step in a datagram; `None` if both sides know the same.
     ///
     /// The records in the datagram must have been applied before.
-    pub fn answer(&mut self, now: Instant, told: &Datagram) -> Option<Exchange> {
-        match told.exchange.as_ref()? {
+    pub fn answer(&mut self, now: Instant, datagram: &Datagram) -> Option<Exchange> {
+        match datagram.exchange.as_ref()? {
             Exchange::Compare { digest, routers } => {
                 self.comparing.routers_reported = self.comparing.routers_reported.max(*routers);
                 let Exchange::Compare { digest: own, .. } = self.compare() else {
@@ -275,9 +276,9 @@
 
     /// Returns recent changes, for the routers to which this one sends as a hub.
     pub fn changes(&self, now: Instant) -> Vec<MemberRecord> {
-        let lately = |p: &&Peer| now.since(p.changed_at) < CHANGE_SENT_FOR;
+        let is_recent = |p: &&Peer| now.since(p.changed_at) < CHANGE_SENT_FOR;
         let mut changed: Vec<(&VmId, &Peer)> =
-            self.heard.iter().filter(|(_, p)| lately(p)).collect();
+            self.heard.iter().filter(|(_, p)| is_recent(p)).collect();
         changed.sort_unstable_by_key(|(_, p)| std::cmp::Reverse(p.changed_at));
         changed.truncate(RECORDS_SENT);
         let records = changed.into_iter();
@@ -285,8 +286,8 @@
     }
 
     /// Applies the records in a datagram; returns the routers that became alive by them.
-    pub fn on_records(&mut self, now: Instant, told: &Datagram) -> Vec<VmId> {
-        let Some(Exchange::Records(records) | Exchange::Reply { records, .. }) = &told.exchange
+    pub fn on_records(&mut self, now: Instant, datagram: &Datagram) -> Vec<VmId> {
+        let Some(Exchange::Records(records) | Exchange::Reply { records, .. }) = &datagram.exchange
         else {
             return Vec::new();
         };
@@ -297,46 +298,48 @@
     }
 
     /// Applies one record; returns whether the router became alive.
-    fn on_record(&mut self, now: Instant, told: &MemberRecord) -> bool {
+    fn on_record(&mut self, now: Instant, record: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
         let silent_after = pace::silent_after(self.size());
-        let known = self.heard.get_mut(&told.vm);
-        match (known, told.state) {
+        let known = self.heard.get_mut(&record.vm);
+        match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
-                self.add(now, told, ago(heard_ms).before(REPORTED_OLDER), None)
+                self.add(now, record, ago(heard_ms).before(REPORTED_OLDER), None)
             }
             (None, RecordState::Gone { since_ms }) => {
                 let since = ago(since_ms);
-                self.add(now, told, since, Some(since))
+                self.add(now, record, since, Some(since))
             }
-            (Some(peer), RecordState::Alive { heard_ms }) if peer.life() == told.life => {
+            (Some(peer), RecordState::Alive { heard_ms }) if peer.life() == record.life => {
                 let at = ago(heard_ms).before(REPORTED_OLDER);
                 peer.reported_heard = peer.reported_heard.max(Some(at));
-                let back = peer.gone_at.is_some_and(|gone| at > gone + GONE_SLACK);
-                let revived = back && !peer.stopping;
+                let is_back = peer.gone_at.is_some_and(|gone| at > gone + GONE_SLACK);
+                let revived = is_back && !peer.stopping;
                 if revived {
                     peer.gone_at = None;
-                    self.on_change(now, &told.vm);
+                    self.on_change(now, &record.vm);
                 }
                 revived
             }
-            (Some(peer), RecordState::Gone { since_ms }) if peer.life() == told.life => {
+            (Some(peer), RecordState::Gone { since_ms }) if peer.life() == record.life => {
                 let since = ago(since_ms);
                 // Where two halls cannot reach each other and a third reaches both, each takes the
                 // other's hubs for down.
-                let speaks = peer.is_direct() && now.since(peer.heard) < silent_after;
+                let is_active = peer.is_direct() && now.since(peer.heard) < silent_after;
                 let is_older = peer.last_heartbeat() <= since + GONE_SLACK;
-                let is_news = peer.gone_at.is_none() && is_older && !speaks;
-                if is_news {
+                let is_new = peer.gone_at.is_none() && is_older && !is_active;
+                if is_new {
                     peer.gone_at = Some(since);
-                    self.on_change(now, &told.vm);
+                    self.on_change(now, &record.vm);
                 }
                 false
             }
-            (Some(peer), RecordState::Alive { heard_ms }) if peer.may_be_followed_by(told.life) => {
+            (Some(peer), RecordState::Alive { heard_ms })
+                if peer.may_be_followed_by(record.life) =>
+            {
                 let former = peer.life();
-                let added = self.add(now, told, ago(heard_ms), None);
-                if let Some(peer) = self.heard.get_mut(&told.vm) {
+                let added = self.add(now, record, ago(heard_ms), None);
+                if let Some(peer) = self.heard.get_mut(&record.vm) {
                     peer.former_life = Some(former);
                 }
                 added
@@ -348,17 +351,17 @@
     fn add(
         &mut self,
         now: Instant,
-        told: &MemberRecord,
+        record: &MemberRecord,
         heard: Instant,
         gone_at: Option<Instant>,
     ) -> bool {
         if now.since(heard) >= ADDRESS_KEPT {
             return false;
         }
-        let peer = Peer::from_record(told, now, heard, gone_at);
-        self.heard.insert(told.vm.clone(), peer);
-        self.unheard.remove(&told.address);
-        self.on_change(now, &told.vm);
+        let peer = Peer::from_record(record, now, heard, gone_at);
+        self.heard.insert(record.vm.clone(), peer);
+        self.unheard.remove(&record.address);
+        self.on_change(now, &record.vm);
         gone_at.is_none()
     }
 
@@ -370,8 +373,8 @@
         let first = self.comparing.turn as usize * 31 + VmHash::from(&self.me).spread();
         self.comparing.turn += 1;
         let from_first = |vm: &VmId| (bucket(vm) + first) % BUCKETS;
-        let kept = self.heard.iter().filter(|(vm, _)| differs(bucket(vm)));
-        let mut records: Vec<MemberRecord> = kept.map(|(vm, p)| record(now, vm, p)).collect();
+        let differing = self.heard.iter().filter(|(vm, _)| differs(bucket(vm)));
+        let mut records: Vec<MemberRecord> = differing.map(|(vm, p)| record(now, vm, p)).collect();
         records.sort_by_key(|r| from_first(&r.vm));
         records.truncate(RECORDS_SENT - 1);
         if differs(bucket(&self.me)) {
