--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,11 +1,12 @@
-//! At most once: an unrepeatable call's key is claimed in the platform's store before anything
-//! reaches a target.
+//! At-most-once execution: the key of an unrepeatable call is claimed in the platform's store
+//! before anything is sent to a target.
 //!
-//! Keys are spread over [`SHARDS`] shards. A shard is a chain of small values in the store,
-//! `SHARD/NUMBER` below [`CLAIMS_PREFIX`]: records are appended to the last one by compare-and-swap, many at
-//! once; a full one is sealed in the same write and the next is created as "absent". So every
-//! record passes one point of order, whoever believes to keep the shard: of two keepers one
-//! gets "conflict", reads anew, and decides again.
+//! Keys are spread over [`SHARDS`] shards. A shard is a chain of small values in the store, under
+//! the keys `SHARD/NUMBER` below [`CLAIMS_PREFIX`]. Records are appended to the last value by
+//! compare-and-swap, many in one write. The write that fills a value also seals it, and the next
+//! value is created on the condition that it is absent. So all records of a shard pass one point of
+//! order, whichever routers believe that they are its keeper: of two keepers that write at once,
+//! one gets "conflict", reads the shard again and decides again.
 
 use std::collections::HashMap;
 
@@ -16,37 +17,37 @@
     result_code::ResultCode,
 };
 
-/// What the keys of claims begin with in the store; apart from what routers follow there, as claims
-/// are written some hundred times as often.
+/// Prefix of the keys of claims in the store. It is apart from the keys that routers watch there,
+/// as claims are written some hundred times as often.
 pub const CLAIMS_PREFIX: &str = "scaleford-claims/";
 
-/// Into how many shards keys are spread; each can be written about ten times a second.
+/// Number of shards that keys are spread over; each can be written about ten times a second.
 pub const SHARDS: u64 = 8;
 
-/// Records in one value before it is sealed.
+/// Number of records from which on a value is sealed.
 pub const SEAL_AT: usize = 64;
 
-/// How long a key is remembered, in seconds.
+/// Time for which a key is remembered, in seconds.
 pub const RETENTION_S: u64 = 24 * 3600;
 
-/// A claim without an outcome counts as still running for this long, in seconds; then nobody
-/// knows how it ended.
+/// Time for which a claim without an outcome counts as still running, in seconds. After that, the
+/// outcome is unknown.
 pub const RUNNING_S: u64 = 3600;
 
-/// How old the copy is at the most from which the store comes back, in seconds. What was recorded before is in it, or was
-/// recorded by another keeper otherwise.
+/// Maximum age, in seconds, of the copy that the store is restored from. A record older than that
+/// is in the copy, or another keeper recorded something else in its place.
 pub const COPY_AGE_S: u64 = 60;
 
-/// Keys that one shard remembers at the most; beyond it calls are not run.
+/// Maximum number of keys that one shard remembers; beyond it, new calls are not run.
 pub const SHARD_LIMIT: usize = 100_000;
 
-/// The hash of an account and its idempotency key.
+/// Hash of an account, a service and the idempotency key of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClaimKey(pub [u8; 16]);
 
 impl ClaimKey {
-    /// The key of an account's call to a service.
+    /// Computes the key of an account's call to a service.
     pub fn new(account: &ClientAccountId, service: &str, key: &str) -> Self {
         let mut h = blake3::Hasher::new();
         for part in [account.as_str(), service, key] {
@@ -58,7 +59,7 @@
         Self(out)
     }
 
-    /// The shard that the key belongs to.
+    /// Returns the shard that the key belongs to.
     pub fn shard(self) -> u64 {
         u64::from(self.0[0]) % SHARDS
     }
@@ -80,19 +81,19 @@
     }
 }
 
-/// What a router wants of a claim.
+/// Kind of a step on a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimKind {
-    /// To be the one that sends the call.
+    /// Claims the key, so that this request alone sends the call.
     Claim,
-    /// To record how it ended.
+    /// Records how the call ended.
     Done,
-    /// To give it back: nothing was sent.
+    /// Releases the claim, as nothing was sent.
     Release,
 }
 
-/// One step of an unrepeatable call.
+/// A step of an unrepeatable call on its claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimStep {
     /// The call's key.
@@ -100,29 +101,30 @@
     /// The request that takes the step.
     #[serde(with = "crate::ids::request_text")]
     pub request: RequestId,
-    /// The step.
+    /// Kind of the step.
     pub kind: ClaimKind,
-    /// With `Done`: the answer's HTTP status, 0 if unknown.
+    /// HTTP status of the answer where the kind is `Done`; 0 if unknown.
     pub outcome: u16,
 }
 
-/// What the shard's keeper says to a step.
+/// Answer of the shard's keeper to a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
     /// The step is in the store.
     Recorded,
-    /// Another request claimed the key and has not ended.
+    /// Another request claimed the key, and has not ended.
     Running,
-    /// The call ran; this was its HTTP status.
+    /// The call ran, and was answered with this HTTP status.
     Ran(u16),
-    /// The call was sent and nobody knows how it ended.
+    /// The call was sent, and its outcome is unknown.
     Unknown,
-    /// The store does not take the step; for a claim that means the call must not be sent.
+    /// The step could not be recorded in the store; if it was a claim, the call must not be sent.
     NotRecorded,
 }
 
 impl ClaimVerdict {
-    /// What a caller is told whose claim came to this; `None` if it goes on.
+    /// Returns the result code for a caller whose claim got this verdict; `None` if the call may be
+    /// sent.
     pub fn refusal(self) -> Option<ResultCode> {
         match self {
             Self::Recorded => None,
@@ -134,25 +136,27 @@
     }
 }
 
-/// A record in the store.
+/// A step as it is recorded in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The step.
     #[serde(flatten)]
     pub step: ClaimStep,
-    /// When, in seconds of the wall clock; only retention depends on it.
+    /// Wall-clock time of the step, as Unix time in seconds. Only the retention of keys, the end of
+    /// a claim without an outcome and the recovery of lost records depend on it.
     pub at_s: u64,
 }
 
 /// One value of a shard's chain.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The records, in order.
+    /// Records, in the order in which they were written.
     pub records: Vec<Record>,
-    /// Whether the next chunk follows.
+    /// Whether the chunk is full, so that further records go to the next one.
     pub sealed: bool,
 }
 
+/// Latest step recorded on a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Standing {
     request: RequestId,
@@ -161,47 +165,50 @@
     at_s: u64,
 }
 
-/// A shard as its keeper knows it: all chunks, and the place in the store to append at.
+/// A shard as its keeper knows it: the latest step on each key, and the chunk to append to.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimShard {
     standing: HashMap<ClaimKey, Standing>,
     last: Chunk,
+    /// Number of `last` in the chain.
     number: u64,
-    /// Records that the store has lost; the next write has them.
+    /// Records that the store has lost; the next write contains them.
     lost: Vec<Record>,
 }
 
-/// A write to try, and what to answer if it takes effect.
+/// A write to attempt, and the verdicts to return if it takes effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// The number of the chunk to write.
+    /// Number of the chunk to write.
     pub number: u64,
-    /// Its whole content.
+    /// Whole content of the chunk.
     pub chunk: Chunk,
-    /// The verdict on each step, in the order they were given.
+    /// Verdict on each step, in the order of the steps.
     pub verdicts: Vec<ClaimVerdict>,
 }
 
 impl ClaimShard {
-    /// The key of a chunk in the store.
+    /// Returns the key of a chunk in the store.
     pub fn store_key(shard: u64, number: u64) -> String {
         format!("{}{number:08}", Self::store_prefix(shard))
     }
 
-    /// What the keys of a shard's chunks begin with.
+    /// Returns the prefix of the keys of a shard's chunks.
     pub fn store_prefix(shard: u64) -> String {
         format!("{CLAIMS_PREFIX}{shard}/")
     }
 
-    /// Takes the next chunk as read from the store, in order.
+    /// Applies the next chunk as it was read from the store. Chunks are loaded in order.
     pub fn load(&mut self, number: u64, chunk: Chunk) {
         chunk.records.iter().for_each(|r| self.stand(r));
         self.number = number;
         self.last = chunk;
     }
 
-    /// Takes over what a store that was set back has lost: recent records of this shard as it was known before, on keys that it
-    /// does not have now, or has an earlier step of the same request on.
+    /// Restores the records that were lost when the store was reverted to an older copy. `before`
+    /// is this shard as it was known until then. Its records count as lost if they are at most
+    /// [`COPY_AGE_S`] old, and this shard has no record of their key, or only the claim of the same
+    /// request.
     pub fn recover(&mut self, before: &Self, now_s: u64) {
         let is_lost = |(key, known): &(&ClaimKey, &Standing)| match self.standing.get(*key) {
             _ if known.at_s + COPY_AGE_S < now_s => false,
@@ -214,30 +221,30 @@
         self.lost = lost;
     }
 
-    /// Whether records that the store has lost are not written yet.
+    /// Whether records that the store has lost are still to be written again.
     pub fn is_recovering(&self) -> bool {
         !self.lost.is_empty()
     }
 
-    /// Whether a chunk holds nothing that must still be remembered.
+    /// Whether a chunk is sealed and all of its records are past their retention time.
     pub fn is_expired(chunk: &Chunk, now_s: u64) -> bool {
         let old = |r: &Record| r.at_s + RETENTION_S < now_s;
         chunk.sealed && chunk.records.iter().all(old)
     }
 
-    /// How many keys are remembered.
+    /// Number of keys that are remembered.
     pub fn len(&self) -> usize {
         self.standing.len()
     }
 
-    /// Whether none is.
+    /// Whether no keys are remembered.
     pub fn is_empty(&self) -> bool {
         self.standing.is_empty()
     }
 
-    /// Decides on steps in order, and makes the one write that records them all.
+    /// Decides on steps in order, and returns the one write that records them all.
     ///
-    /// Nothing is to be answered before the write took effect.
+    /// No verdict may be returned before the write has taken effect.
     pub fn decide(&self, steps: &[ClaimStep], at_s: u64) -> Batch {
         let (number, mut chunk) = match self.last.sealed {
             true => (self.number + 1, Chunk::default()),
@@ -266,17 +273,17 @@
         }
     }
 
-    /// The chunk that is appended to, or that was sealed last.
+    /// Returns the last chunk of the chain; records are appended to it unless it is sealed.
     pub fn last(&self) -> &Chunk {
         &self.last
     }
 
-    /// The number of the chunk that is appended to, or that was sealed last.
+    /// Returns the number of the last chunk of the chain.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Takes a batch that took effect.
+    /// Applies a batch whose write took effect.
     pub fn commit(&mut self, batch: Batch) {
         self.lost.clear();
         self.load(batch.number, batch.chunk);
@@ -322,6 +329,8 @@
     }
 }
 
+/// Decides on a step by the latest step known on its key; `remembered` is the number of keys that
+/// the shard remembers.
 fn judge(known: Option<Standing>, record: &Record, remembered: usize) -> ClaimVerdict {
     use ClaimKind::{Claim, Done, Release};
     let step = &record.step;
@@ -341,7 +350,7 @@
     }
 }
 
-/// Whether a step is in the record already, as after an answer that was lost.
+/// Whether a step is recorded already, as when it is repeated because its answer was lost.
 fn repeats(known: Option<Standing>, step: &ClaimStep) -> bool {
     let same =
         |s: Standing| (s.request, s.kind, s.outcome) == (step.request, step.kind, step.outcome);
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,11 +1,12 @@
-//! Which targets there are, as the store's list tells it.
+//! Discovery of targets from the list in the store.
 //!
-//! The list is wrong right after an outage of the store: entries of targets that could not renew
-//! them are missing, and come back a moment later. A removal that is seen then takes force only
+//! The list is incomplete right after an outage of the store: entries of targets that could not
+//! renew them are missing, and return a moment later. A removal that is seen then takes effect only
 //! after [`RETURN_GRACE`].
 //!
-//! An entry lies under its target's name. A target that starts again writes there with another birth:
-//! then its former life is over at once, and what is known of that life is of no target any more.
+//! An entry is stored under its target's name. A target that restarts writes there with another
+//! birth time. That ends its former instance at once, and what is known of that instance applies to
+//! no target any more.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -24,51 +25,60 @@
     target_record::{TargetRecord, TargetState},
 };
 
-/// How long after the store's return a missing entry still counts: live targets are back in the
-/// list within about two seconds.
+/// Time after the store's return for which a missing entry still counts: live targets are back in
+/// the list within about two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_millis(1_900);
 
-/// The part of the saved targets that has to be missing from a router's first list for them to count
-/// for a moment: so many lapse together only where the store was away. A few that are missing have left.
-/// After a restart of all routers that follows an outage, calls earn 0.82 of their worth in place of 0.78
-/// (mean of six seeds), as prompts are found where they were read.
+/// Minimum fraction of the saved targets that has to be missing from a router's first list for the
+/// missing ones to count for a moment. So many entries expire together only where the store was
+/// unavailable; where only a few are missing, those targets left. After a restart of all routers
+/// that follows an outage, calls earn 0.82 of their worth instead of 0.78 (mean of six seeds), as
+/// prompts are found at the targets that read them.
 const LAPSED_PART: f64 = 0.25;
 
-/// Targets of a service below which all of them are kept for routers that start.
+/// Number of targets of a service below which all of them are saved for routers that start.
 const FEW_TARGETS: usize = 512;
 
-/// How many removals are remembered beside a quarter of the targets, so that older news of them is passed over: several
-/// times those that leave within the seconds that news may take.
+/// Number of removals that are remembered in addition to a fraction of the targets, so that older
+/// changes of the same entries are ignored. It is several times the number of targets that leave
+/// within the seconds that a change may take to arrive.
 const REMOVED_KEPT: usize = 1024;
 
-/// The part of the targets that may leave within these seconds.
+/// Divisor of the number of targets that gives this fraction: a quarter may leave within these
+/// seconds.
 const REMOVED_PART: usize = 4;
 
-/// Changes that come together from which on all targets are indexed anew.
+/// Number of changes that arrive together above which all targets are indexed again.
 const CHANGES_APART: usize = 256;
 
+/// An entry of the list.
 #[derive(Debug)]
 struct Listed {
     record: Rc<TargetRecord>,
     revision: StoreRevision,
-    /// When an entry that went missing stops to count.
+    /// When an entry that went missing ceases to count; `None` if it is not missing.
     missing_until: Option<Instant>,
 }
 
-/// The list as this router knows it.
+/// The list of targets as this router knows it.
 #[derive(Debug, Default)]
 pub struct Discovery {
     targets: BTreeMap<TargetName, Listed>,
+    /// Entries that were removed, each with the write that removed it.
     removed: HashMap<TargetName, StoreRevision>,
     pools: Pools,
-    /// When the first entry that went missing stops to count.
+    /// Earliest time at which an entry that went missing ceases to count.
     missing_until: Option<Instant>,
-    /// Targets that are cold by their entries, each with until when.
+    /// Targets that are cold according to their entries, each with the time at which it becomes
+    /// warm.
     cold: HashMap<TargetId, Instant>,
     evacuations: Evacuations,
+    /// End of the grace period after the store's return, in which removed entries still count.
     grace_until: Option<Instant>,
-    /// When lists are to be believed again where they contradict what an earlier life of the store held.
+    /// When lists may again contradict what an earlier era of the store contained; `None` if they
+    /// may now.
     settles_at: Option<Instant>,
+    /// Whether a list was ever read.
     known: bool,
 }
 
@@ -78,20 +88,23 @@
         self.known
     }
 
-    /// The store answered again so long ago, after it did not; that may have been before this router's life.
+    /// Handles the return of the store after an outage, `ago` before now. That may have been before
+    /// this router started.
     pub fn on_store_back(&mut self, now: Instant, ago: Duration) {
         let until = (now + RETURN_GRACE).before(ago);
         self.grace_until = self.grace_until.max(Some(until));
     }
 
-    /// The store came back from an older copy. What it lost is written again within [`RETURN_GRACE`]; until then its lists take
-    /// nothing back that is known from before: a target that left would get calls again.
+    /// Handles a store that was reverted to an older copy. Lost entries are written again within
+    /// [`RETURN_GRACE`]. Until then, lists of the store undo nothing that was known before, as a
+    /// target that left would get calls again.
     pub fn on_set_back(&mut self, now: Instant) {
         self.settles_at = Some(now + RETURN_GRACE);
         self.on_store_back(now, Duration::ZERO);
     }
 
-    /// Whether that time is over now, once: what the store holds then is to be listed again.
+    /// Returns, once, whether the time after a reversion of the store is over. The content of the
+    /// store is then to be listed again.
     pub fn take_settled(&mut self, now: Instant) -> bool {
         let is_over = self.settles_at.is_some_and(|at| now >= at);
         if is_over {
@@ -100,7 +113,7 @@
         is_over
     }
 
-    /// Whether a listed entry takes back what was known from an earlier life of the store.
+    /// Whether a listed entry undoes what was known from an earlier era of the store.
     fn takes_back(&self, record: &TargetRecord, at: StoreRevision) -> bool {
         let is_earlier = |known: StoreRevision| known.era < at.era;
         let name = record.id.to_name();
@@ -112,7 +125,8 @@
         }
     }
 
-    /// Takes one change that was written as `revision`; older news of an entry is passed over.
+    /// Applies one change that was written as `revision`; a change that is older than what is known
+    /// of its entry is ignored.
     pub fn on_change(
         &mut self,
         now: Instant,
@@ -122,8 +136,9 @@
         self.on_changes(now, vec![(change, revision)])
     }
 
-    /// Takes changes that came together, each written as its revision. What targets serve is indexed once
-    /// for all of them: 512 changes among 3,000 targets take 0.8 ms in place of 91 (`slopes`).
+    /// Applies changes that arrived together, each with the revision that wrote it. Where they are
+    /// many, targets are indexed by service once for all of them: 512 changes among 3,000 targets
+    /// take 0.8 ms instead of 91 ms (`slopes`).
     pub fn on_changes(&mut self, now: Instant, list: Vec<(ListChange, StoreRevision)>) -> Changes {
         let mut changes = Changes::new();
         for (change, revision) in list {
@@ -140,7 +155,7 @@
         changes
     }
 
-    /// Takes a whole list, read when the store was at `revision`; returns what changed.
+    /// Applies a whole list that was read when the store was at `revision`; returns what changed.
     pub fn on_list(
         &mut self,
         now: Instant,
@@ -169,14 +184,14 @@
         changes
     }
 
-    /// Takes the targets that were listed before this router's life, after its first list. Where many
-    /// of them are missing from that, their entries lapsed while the store was away, and they count for
-    /// a moment; returns these.
+    /// Applies the targets that were saved before this router started, after its first list. Where
+    /// many of them are missing from that list, their entries expired while the store was
+    /// unavailable, and they count for [`RETURN_GRACE`]; returns these.
     pub fn on_recalled(&mut self, now: Instant, saved: Vec<TargetRecord>) -> Vec<TargetId> {
         let all = saved.len() as f64;
         let ready = |r: &TargetRecord| r.state == TargetState::Ready;
         let missing = saved.into_iter().filter(ready);
-        // One that started again is listed, though not this life of it.
+        // A target that restarted is listed under its name, though as another instance.
         let missing = missing.filter(|r| !self.targets.contains_key(r.id.name()));
         let missing: Vec<TargetRecord> = missing.collect();
         if missing.is_empty() || (missing.len() as f64) < all * LAPSED_PART {
@@ -187,7 +202,7 @@
             self.note_cold(now, &record);
             let listed = Listed {
                 record: Rc::new(record),
-                // Whatever the store tells of it is newer.
+                // Every write of the store is newer.
                 revision: StoreRevision::default(),
                 missing_until: Some(now + RETURN_GRACE),
             };
@@ -197,15 +212,17 @@
         ids
     }
 
-    /// The targets that are worth keeping for routers that start: those that have read prompts, and all of services with
-    /// few. So what is kept does not grow with the fleet's targets.
+    /// Returns the targets to save for routers that start: those that have read prompts, and all
+    /// targets of services with few. So the saved data does not grow with the number of targets in
+    /// the fleet.
     pub fn worth_keeping(&self, has_read: impl Fn(&TargetId) -> bool) -> Vec<TargetRecord> {
         let is_of_few = |t: &TargetRecord| self.serving(&t.service).len() < FEW_TARGETS;
         let worth = self.all().filter(|t| has_read(&t.id) || is_of_few(t));
         worth.map(|t| TargetRecord::clone(t)).collect()
     }
 
-    /// Takes the whole list as operators state it: a target that is not on it is gone for certain.
+    /// Applies the whole list from the operators' configuration. A target that is not on it is gone
+    /// for certain, so that no grace period applies.
     pub fn on_stated(
         &mut self,
         now: Instant,
@@ -217,10 +234,11 @@
         self.on_list(now, list, revision)
     }
 
-    /// Drops entries whose grace is over; returns them.
+    /// Removes missing entries whose grace period is over; returns their targets.
     pub fn on_tick(&mut self, now: Instant) -> Vec<TargetId> {
         self.cold.retain(|_, until| now < *until);
-        // Nothing is looked for among thousands, many times a second, where none is missing.
+        // Skips the scan of thousands of targets, which would run many times a second, where none
+        // is missing.
         if self.missing_until.is_none_or(|until| now < until) {
             return Vec::new();
         }
@@ -231,7 +249,8 @@
         gone
     }
 
-    /// A data hall is evacuated, or taken back, by a write; returns whether that is a change.
+    /// Handles a write that evacuates a data hall or takes it back into service; returns whether
+    /// that changes the hall's state.
     pub fn on_hall(
         &mut self,
         now: Instant,
@@ -247,7 +266,8 @@
         changed
     }
 
-    /// Takes all data halls that are evacuated as of `revision`; returns those of which that is a change.
+    /// Applies the list of all data halls that are evacuated as of `revision`; returns the halls
+    /// whose state changed.
     pub fn on_halls(
         &mut self,
         now: Instant,
@@ -264,25 +284,27 @@
         changed
     }
 
-    /// What is stated of data halls.
+    /// Returns the evacuations of data halls.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Whether a service has targets that take work, all of them in data halls that are evacuated.
+    /// Whether a service has targets that are ready, but all of them in evacuated data halls.
     pub fn is_evacuated(&self, service: &ServiceName) -> bool {
         let takes_work = |t: &&Rc<TargetRecord>| t.state == TargetState::Ready;
         let mut of_service = self.all().filter(|t| t.service == *service);
         self.serving(service).is_empty() && of_service.any(|t| takes_work(&t))
     }
 
-    /// Whether any target may be cold: nothing is asked of each of thousands for a call where none is.
+    /// Whether any target may be cold. If none is, a call skips the check of each of thousands of
+    /// targets.
     pub fn may_be_cold(&self) -> bool {
         !self.cold.is_empty() || self.evacuations.is_any_taken_back()
     }
 
-    /// Until when a target is cold, of a service whose targets stay so for `lasts`; `None` if it is warm. One
-    /// in a data hall that was taken back is taken to be: it says so itself only with its next entry.
+    /// Returns when a target becomes warm, where targets of its service are cold for `lasts`;
+    /// `None` if it is warm. A target in a data hall that was taken back into service is assumed to
+    /// be cold, as it says so itself only with its next entry.
     pub fn cold_until(
         &self,
         now: Instant,
@@ -295,23 +317,23 @@
         until.filter(|until| now < *until)
     }
 
-    /// The targets of a service that take work.
+    /// Returns the targets of a service that take work.
     pub fn serving(&self, service: &ServiceName) -> &[Rc<TargetRecord>] {
         self.pools.serving(service)
     }
 
-    /// The targets that take work, by service.
+    /// Returns the targets that take work, by service.
     pub(crate) fn pools(&self) -> &Pools {
         &self.pools
     }
 
-    /// A target, if this life of it is in the list.
+    /// Returns a target, if the list contains this instance of it.
     pub fn get(&self, id: &TargetId) -> Option<&Rc<TargetRecord>> {
         let listed = self.targets.get(id.name())?;
         (listed.record.id == *id).then_some(&listed.record)
     }
 
-    /// All targets in the list.
+    /// Returns all targets in the list.
     pub fn all(&self) -> impl Iterator<Item = &Rc<TargetRecord>> {
         self.targets.values().map(|l| &l.record)
     }
@@ -365,7 +387,8 @@
         }
     }
 
-    /// What the entry said before does not hold any more, also where the store was away until now.
+    /// Removes a target whose entry became unusable. Its former entry no longer applies, also right
+    /// after an outage of the store.
     fn drop_unusable(&mut self, name: TargetName, revision: StoreRevision) -> Changes {
         let is_older = |l: &&Listed| l.revision <= revision;
         let Some(listed) = self.targets.get(&name).filter(is_older) else {
@@ -386,7 +409,8 @@
         self.removed.insert(name, revision);
     }
 
-    /// How long a target is cold counts from when its entry came: clocks of VMs differ.
+    /// Records until when a target is cold. The time counts from the arrival of its entry, as the
+    /// clocks of VMs differ.
     fn note_cold(&mut self, now: Instant, record: &TargetRecord) {
         match record.cold_for {
             Duration::ZERO => self.cold.remove(&record.id),
@@ -403,7 +427,7 @@
         self.missing_until = missing.min();
     }
 
-    /// Indexes one life of a target.
+    /// Indexes one instance of a target.
     fn index_one(&mut self, id: &TargetId) {
         let listed = self.targets.get(id.name());
         let record = listed.map(|l| &l.record).filter(|r| r.id == *id);
--- a/src/evacuation.rs
+++ b/src/evacuation.rs
@@ -1,8 +1,8 @@
-//! Data halls whose targets are to get nothing for a while, as operators state it.
+//! Evacuation of data halls: operators state that the targets of a hall get no calls for a while.
 //!
-//! Statements are ordered by the write of the store that made them, so that one which arrives late or twice
-//! changes nothing. The end of an evacuation is remembered: targets of a hall that is taken back are cold
-//! then, before their entries say so.
+//! Statements are ordered by the store's write that made them, so that one that arrives late or
+//! twice changes nothing. The end of an evacuation is remembered: targets of a hall that is taken
+//! back into service are cold then, before their entries say so.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,25 @@
     units::{Instant, StoreRevision},
 };
 
-/// What is stated of one data hall.
+/// Latest statement on one data hall.
 #[derive(Debug, Clone, Copy)]
 struct Stated {
+    /// Write of the store that made the statement.
     revision: StoreRevision,
-    /// When it came to be known here.
+    /// When this router learned that the hall was evacuated or taken back.
     at: Instant,
     is_evacuated: bool,
 }
 
-/// What is stated of all data halls.
+/// Latest statements on all data halls.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     halls: BTreeMap<DataHall, Stated>,
 }
 
 impl Evacuations {
-    /// A hall is evacuated, or taken back, by a write; returns whether that is a change.
+    /// Handles a write that evacuates a hall or takes it back into service; returns whether that
+    /// changes the hall's state.
     pub fn on_change(
         &mut self,
         now: Instant,
@@ -52,7 +54,8 @@
         is_new
     }
 
-    /// Takes all halls that are evacuated as of `revision`; returns those of which that is a change.
+    /// Applies the list of all halls that are evacuated as of `revision`; returns the halls whose
+    /// state changed.
     pub fn on_list(
         &mut self,
         now: Instant,
@@ -72,7 +75,8 @@
         changed
     }
 
-    /// Takes halls that are evacuated in an older copy of the store, where nothing else is stated of them here; returns these.
+    /// Applies a list of evacuated halls from an older copy of the store, except for halls that
+    /// have a statement here already; returns the halls that were added.
     pub fn on_copy(&mut self, now: Instant, list: Vec<(DataHall, StoreRevision)>) -> Vec<DataHall> {
         let is_new = |(hall, _): &(DataHall, StoreRevision)| !self.halls.contains_key(hall);
         let new: Vec<_> = list.into_iter().filter(is_new).collect();
@@ -82,12 +86,12 @@
         new.into_iter().map(|(hall, _)| hall).collect()
     }
 
-    /// Whether a hall's targets are to get nothing.
+    /// Whether the targets of a hall get no calls.
     pub fn is_evacuated(&self, hall: &DataHall) -> bool {
         self.halls.get(hall).is_some_and(|s| s.is_evacuated)
     }
 
-    /// The halls that are evacuated, each with when that came to be known here.
+    /// Returns the evacuated halls, each with the time at which this router learned of it.
     pub fn evacuated(&self) -> impl Iterator<Item = (&DataHall, Instant)> {
         let on = self.halls.iter().filter(|(_, s)| s.is_evacuated);
         on.map(|(hall, s)| (hall, s.at))
@@ -98,7 +102,7 @@
         self.halls.values().any(|s| !s.is_evacuated)
     }
 
-    /// When it came to be known here that a hall was taken back.
+    /// Returns when this router learned that a hall was taken back into service.
     pub fn taken_back_at(&self, hall: &DataHall) -> Option<Instant> {
         let stated = self.halls.get(hall).filter(|s| !s.is_evacuated)?;
         Some(stated.at)
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a call went where it did: a bounded ring of small records.
+//! Explains how calls were routed: a bounded ring buffer of small records.
 
 use std::{cell::RefCell, collections::VecDeque};
 
@@ -13,27 +13,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "event")]
 pub enum Decision {
-    /// It came in.
+    /// The call was received.
     Received {
-        /// The account that sent it.
+        /// Account that sent the call.
         account: String,
-        /// What it asks for.
+        /// Service that the call is routed to.
         pool: String,
     },
-    /// It was sent to a target.
+    /// A target was chosen for the call.
     Tried {
         /// The target.
         target: TargetId,
-        /// Calls there before it.
+        /// Number of calls in progress at the target before this one.
         calls: u32,
-        /// Tokens of its prompt that the target had yet to read.
+        /// Number of prompt tokens that the target had yet to read.
         missing: u64,
     },
-    /// The target did not answer it.
+    /// The target did not answer the call.
     Failed {
         /// The target.
         target: TargetId,
-        /// Why.
+        /// Reason of the failure.
         why: String,
     },
     /// The target answered.
@@ -41,17 +41,17 @@
         /// The target.
         target: TargetId,
     },
-    /// It ended.
+    /// The call ended.
     Ended {
-        /// With which code; 0 with a target's answer.
+        /// Number of the result code; 0 if a target's answer was passed on.
         code: u16,
-        /// Why, where it was not served.
+        /// Reason why the call was not served, if so.
         why: String,
     },
 }
 
 impl Decision {
-    /// The decision as a sentence.
+    /// Returns the decision as a sentence.
     pub fn sentence(&self) -> String {
         match self {
             Self::Received { account, pool } => format!("{account} asked for {pool}."),
@@ -74,31 +74,32 @@
     }
 }
 
-/// A decision with its time and call.
+/// A decision with its time, router and call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// Milliseconds of the time of day, which orders records of several routers about.
+    /// Unix time in milliseconds, which orders the records of several routers approximately.
     pub at_ms: u64,
-    /// The router that decided.
+    /// Router that made the decision.
     pub vm: VmId,
-    /// The call.
+    /// Id of the call.
     pub request: String,
-    /// What was decided.
+    /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
-    /// The same as a sentence.
+    /// The decision as a sentence.
     pub sentence: String,
 }
 
-/// A router's recent decisions.
+/// Recent decisions of one router.
 #[derive(Debug)]
 pub struct ExplainRing {
+    /// Maximum number of decisions that are kept.
     kept: usize,
     records: RefCell<VecDeque<(u64, String, Decision)>>,
 }
 
 impl ExplainRing {
-    /// A ring of so many decisions; of none, it keeps nothing.
+    /// Creates a ring of at most `kept` decisions; with 0, nothing is recorded.
     pub fn new(kept: usize) -> Self {
         Self {
             kept,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Keeps a decision; the oldest goes where the ring is full.
+    /// Records a decision, and removes the oldest one if the ring is full.
     pub fn record(&self, at_ms: u64, call: &str, decision: impl FnOnce() -> Decision) {
         if self.kept == 0 {
             return;
@@ -118,7 +119,7 @@
         records.push_back((at_ms, call.to_owned(), decision()));
     }
 
-    /// All that is kept of a call, in order.
+    /// Returns the recorded decisions on a call, in order.
     pub fn of(&self, vm: &VmId, call: &str) -> Vec<DecisionRecord> {
         let records = self.records.borrow();
         let of_call = records.iter().filter(|(_, id, _)| id == call);
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,33 +1,34 @@
-//! The life of a router: serving, leaving, refusing, gone.
+//! Lifecycle of a router: serving, leaving, refusing, gone.
 
 use statig::prelude::*;
 
-/// What happens to a router.
+/// An event in the lifecycle of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RouterEvent {
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
-    /// The balancer has had time to learn of it.
+    /// The load balancer has had time to detect the stop.
     BalancerKnows,
-    /// Nothing is in progress any more, or the time is up.
+    /// No calls are in progress any more, or the time limit of the stop is reached.
     Finished,
 }
 
-/// Where a router has come to, in order.
+/// Phase of a router's lifecycle, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// No stop was asked for.
+    /// No stop was requested.
     Serving,
-    /// Not ready any more; calls are still taken, and connections closed after each.
+    /// The router reports that it is not ready. Calls are still accepted, and connections closed
+    /// after each.
     Leaving,
-    /// New calls are refused as not run.
+    /// New calls are rejected, with a result code that says that they did not run.
     Refusing,
-    /// Its stop is complete.
+    /// The stop is complete.
     Gone,
 }
 
 impl Phase {
-    /// The phase's name for operators.
+    /// Returns the name of the phase for operators.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Serving => "serving",
@@ -37,7 +38,7 @@
     }
 }
 
-/// The machine behind [`RouterLife`].
+/// State machine behind [`RouterLife`].
 #[derive(Debug, Default)]
 struct LifeMachine;
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// A router's life.
+/// Lifecycle of a router.
 pub(crate) struct RouterLife {
     machine: statig::blocking::StateMachine<LifeMachine>,
 }
@@ -92,12 +93,12 @@
 }
 
 impl RouterLife {
-    /// Takes an event.
+    /// Handles an event.
     pub(crate) fn on(&mut self, event: RouterEvent) {
         self.machine.handle(&event);
     }
 
-    /// Where it has come to.
+    /// Returns the current phase.
     pub(crate) fn phase(&self) -> Phase {
         match self.machine.state() {
             State::Serving {} => Phase::Serving,
--- a/src/list_change.rs
+++ b/src/list_change.rs
@@ -1,50 +1,51 @@
-//! Changes of the list of targets, and what becomes of the entries that they concern.
+//! Changes of the list of targets, and their effects on its entries.
 
 use crate::{
     ids::{TargetId, TargetName},
     target_record::TargetRecord,
 };
 
-/// One change of the list.
+/// A change of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListChange {
     /// An entry was written.
     Put(TargetRecord),
-    /// An entry went.
+    /// An entry was removed.
     Removed(TargetName),
-    /// An entry was written that names no target to use.
+    /// An entry was written that describes no usable target.
     Unusable(TargetName),
 }
 
-/// Targets of which something changed, each with what became of it.
+/// Targets that changed, each with the effect of the change.
 pub type Changes = Vec<(TargetId, Verdict)>;
 
-/// What became of an entry, for the log.
+/// Effect of a change on a target, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is used from now on.
+    /// The target is used from now on.
     Added,
-    /// It changed.
+    /// The target's entry changed.
     Changed,
-    /// It takes no more work.
+    /// The target takes no more work.
     Leaving,
-    /// It is not used any more.
+    /// The target is not used any more.
     Gone,
-    /// It ended, and started again under its name.
+    /// The target ended, and restarted under its name.
     Restarted,
-    /// Its entry was overwritten by one that names no target to use.
+    /// The target's entry was overwritten by one that describes no usable target.
     Unusable,
-    /// It went missing while the store was away and still counts for a moment.
+    /// The target's entry went missing while the store was unavailable, and still counts for a
+    /// moment.
     Kept,
 }
 
 impl Verdict {
-    /// Whether the target's life is over for us.
+    /// Whether this instance of the target is not used any more.
     pub fn is_end(self) -> bool {
         matches!(self, Self::Gone | Self::Restarted | Self::Unusable)
     }
 
-    /// Its name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Added => "added",
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,9 +1,11 @@
-//! Requests under which targets end, held back by all routers: decides from the attempts that broke off as
-//! their target ended, here and at peers, which request ended it.
+//! Quarantine of requests that crash targets. Decides which request crashed a target from the
+//! attempts that broke off as their target crashed, at this router and at its peers. All routers
+//! reject a quarantined request.
 //!
-//! The load pattern that this answers: a caller's request ends each target that begins to run it and comes back as
-//! a new call through any router, beside calls that break off with it. Those ran at one target that ended, seldom at
-//! two; the request itself at all of them. A request that a target answered is no such request.
+//! It is made for this load pattern: a caller's request crashes each target that begins to run it,
+//! and returns as a new call through any router. Other calls that run at the same target break off
+//! with it. These ran at one target that crashed, seldom at two, but the request itself ran at all
+//! of them. A request that a target answered is not the cause.
 
 use std::{num::NonZeroUsize, time::Duration};
 
@@ -13,82 +15,90 @@
 
 use crate::{fingerprint::Fingerprint, target_counts::TargetHash, units::Instant};
 
-/// Targets that have to end under a request for it to be held back: the users' rule allows three. With two, three calls
-/// beside such requests would have been held back as well (of the lines of attempts kept of a day with some sixty endings).
+/// Number of crashes under a request from which on it is quarantined; the users' rule allows three.
+/// With a threshold of two, three calls that ran beside such requests would have been quarantined
+/// as well (by the log lines of attempts of a day with some sixty crashes).
 const ENDED: usize = 3;
 
-/// How long a request is held back after it was last found to come, and an ending counts. The longest lease of
-/// the users' store.
+/// Duration of a quarantine from its start or last renewal, and time for which a crash counts
+/// towards one. It is the longest lease of the users' store.
 pub const HELD_FOR: Duration = Duration::from_mins(10);
 
-/// An entry in the store is renewed for a request that still comes when so much of that time is left.
+/// Time left of a quarantine from which on its entry in the store is renewed if the request still
+/// arrives.
 const RENEWED_AT: Duration = Duration::from_mins(5);
 
-/// How long an answer shows that targets survive a request, as several that run it at once may end for
-/// another reason.
+/// Time after an answer for which crashes are not attributed to the request: its targets survive
+/// it, and several that run it at once may crash for another reason.
 const ANSWER_COUNTS: Duration = Duration::from_mins(1);
 
-/// A target that started again under its name does not end twice within this time.
+/// Time within which crashes of one target are the same crash: a target that restarted under its
+/// name does not crash again that soon.
 const SAME_ENDING: Duration = Duration::from_millis(500);
 
-/// How long an ending is announced to peers: some heartbeats, of which one arrives.
+/// Time for which a crash is announced to peers: several heartbeats, of which one arrives.
 const ANNOUNCED_FOR: Duration = Duration::from_millis(1_500);
 
-/// Endings that one datagram names at the most, some 14 bytes each.
+/// Maximum number of crashes in one datagram, at some 14 bytes each.
 const NOTICES: usize = 48;
 
-/// Held requests that one datagram names at the most, some 12 bytes each.
+/// Maximum number of quarantined requests in one datagram, at some 12 bytes each.
 const HELD_NOTICES: usize = 32;
 
-/// Suspects and held requests that are remembered, and answered requests: some hundred kilobytes.
+/// Maximum number of suspected requests that are remembered. With the two limits below, these take
+/// some hundred kilobytes.
 const SUSPECTS: usize = 2_048;
+/// Maximum number of quarantined requests that are remembered.
 const HELD: usize = 512;
+/// Maximum number of answered requests that are remembered.
 const ANSWERED: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
 
-/// A target ended while it ran a request.
+/// A crash of a target while it ran a request.
 #[derive(Debug, Clone, Copy)]
 struct Ending {
     target: TargetHash,
     at: Instant,
 }
 
-/// An ending as routers announce it to one another.
+/// A crash as routers announce it to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndingNotice {
     fingerprint: Fingerprint,
     target: TargetHash,
-    /// How long ago it was found.
+    /// Time since the crash was found, in milliseconds.
     age_ms: u16,
 }
 
-/// A request that is held back and is not known to be entered in the store, as routers tell one another.
+/// A quarantined request that is not known to be in the store, as routers announce it to one
+/// another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldNotice {
     fingerprint: Fingerprint,
-    /// For how much longer.
+    /// Time left of the quarantine, in seconds.
     left_s: u16,
 }
 
-/// A request that is held back.
+/// Quarantine of one request.
 #[derive(Debug, Clone, Copy)]
 struct Held {
     until: Instant,
-    /// Whether this router is to enter it in the store.
+    /// Whether this router has to write the request's entry to the store.
     is_unsaved: bool,
-    /// Whether it is entered in the store, from where all routers have it.
+    /// Whether the request has an entry in the store, which all routers read.
     is_stored: bool,
 }
 
-/// What became of a request.
+/// A change in the quarantine of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is held back from now on.
+    /// The request is quarantined from now on.
     HeldBack,
-    /// It is let through again.
+    /// The request is accepted again.
     LetThrough,
 }
 
-/// What is known of requests under which targets ended.
+/// Requests that are suspected of crashing targets, quarantined, or known to be harmless by an
+/// answer.
 #[derive(Debug)]
 pub struct Quarantine {
     suspects: FxHashMap<Fingerprint, Vec<Ending>>,
@@ -109,13 +119,14 @@
 }
 
 impl Quarantine {
-    /// How long a request is still held back; `None` where it may be sent.
+    /// Returns the time left of a request's quarantine; `None` where the request may be sent.
     pub fn held_for(&self, now: Instant, request: Fingerprint) -> Option<Duration> {
         let held = self.held.get(&request).filter(|held| now < held.until)?;
         Some(held.until.since(now))
     }
 
-    /// A held request came: it stays held, and its entry in the store is renewed in time.
+    /// Handles the rejection of a quarantined request: its entry in the store is renewed if little
+    /// time is left.
     pub fn on_refused(&mut self, now: Instant, request: Fingerprint) {
         let Some(held) = self.held.get_mut(&request) else {
             return;
@@ -123,7 +134,8 @@
         held.is_unsaved |= held.until.since(now) <= RENEWED_AT;
     }
 
-    /// A target answered a request, whatever it answered, and goes on.
+    /// Handles an answer to a request, whatever its content, from a target that keeps running: the
+    /// request is no longer suspected or quarantined.
     pub fn on_answered(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
         self.answered.put(request, now);
         self.suspects.remove(&request);
@@ -131,13 +143,13 @@
         was_held.then_some(Change::LetThrough)
     }
 
-    /// Whether a target that ends under a request says anything of it.
+    /// Whether a crash of a target may be attributed to a request.
     pub fn may_suspect(&self, now: Instant, request: Fingerprint) -> bool {
         let answered = self.answered.peek(&request);
         answered.is_none_or(|at| now.since(*at) > ANSWER_COUNTS)
     }
 
-    /// A target was found to have ended while it ran a request of this router's.
+    /// Handles a crash of a target while it ran a request that this router sent to it.
     pub fn on_ending(
         &mut self,
         now: Instant,
@@ -145,14 +157,15 @@
         target: TargetHash,
     ) -> Option<Change> {
         let change = self.find(now, now, request, target);
-        // Few routers saw an ending themselves, so few write the entry.
+        // Only the few routers that saw a crash themselves write the entry.
         if let Some(held) = self.held.get_mut(&request) {
             held.is_unsaved |= change.is_some();
         }
         change
     }
 
-    /// A peer announced endings, its own ones or others'. Returns the requests that are held back for it.
+    /// Handles crashes that a peer announced, whether it saw them itself or not. Returns the
+    /// requests that are quarantined as a result.
     pub fn on_notices(&mut self, now: Instant, notices: &[EndingNotice]) -> Vec<Fingerprint> {
         let mut held = Vec::new();
         for notice in notices {
@@ -163,7 +176,7 @@
         held
     }
 
-    /// The store holds a request back for all routers.
+    /// Handles an entry in the store, which quarantines a request at all routers.
     pub fn on_stored(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
         let before = self.hold(now + HELD_FOR, request);
         if let Some(held) = self.held.get_mut(&request) {
@@ -172,7 +185,8 @@
         (!before).then_some(Change::HeldBack)
     }
 
-    /// A peer holds requests back that it does not know to be entered. Returns those that are held back for it.
+    /// Handles quarantined requests that a peer does not know to be in the store. Returns those
+    /// that are quarantined here as a result.
     pub fn on_held_notices(&mut self, now: Instant, notices: &[HeldNotice]) -> Vec<Fingerprint> {
         let mut held = Vec::new();
         for HeldNotice {
@@ -188,8 +202,10 @@
         held
     }
 
-    /// Requests that are held back and have no entry in the store, as that is away or slow. Without these notices routers that
-    /// start meanwhile send such a request on, and targets end under it again.
+    /// Returns the quarantined requests that have no entry in the store, as the store is
+    /// unavailable or slow; those with the most time left come first. Without these notices,
+    /// routers that start in the meantime would send such a request on, and targets would crash
+    /// under it again.
     pub fn held_notices(&self, now: Instant) -> Vec<HeldNotice> {
         let untold = self.held.iter().filter(|(_, held)| !held.is_stored);
         let notice = |(request, held): (&Fingerprint, &Held)| HeldNotice {
@@ -202,7 +218,8 @@
         notices
     }
 
-    /// Requests that no entry tells of are this router's to enter, where it is the one that looks after them.
+    /// Marks the quarantined requests without an entry in the store whose keeper is this router, so
+    /// that it writes their entries. Returns whether any entry is to be written.
     pub fn on_keeper(&mut self, is_keeper: impl Fn(Fingerprint) -> bool) -> bool {
         let mut any = false;
         for (request, held) in self.held.iter_mut().filter(|(_, held)| !held.is_stored) {
@@ -212,14 +229,16 @@
         any
     }
 
-    /// Its entry in the store is gone: its time was over, or an operator removed it.
+    /// Handles the removal of a request's entry from the store: its lease expired, an operator
+    /// removed it, or a router did after a target answered the request.
     pub fn on_removed(&mut self, request: Fingerprint) -> Option<Change> {
         self.suspects.remove(&request);
         let was_held = self.held.remove(&request).is_some();
         was_held.then_some(Change::LetThrough)
     }
 
-    /// What to announce to the peers, of what was suspected most often first.
+    /// Returns the recent crashes to announce to peers, beginning with those of the requests with
+    /// the most crashes.
     pub fn notices(&self, now: Instant) -> Vec<EndingNotice> {
         let mut found: Vec<(usize, EndingNotice)> = Vec::new();
         for (fingerprint, endings) in &self.suspects {
@@ -238,18 +257,18 @@
         found.into_iter().map(|(_, notice)| notice).collect()
     }
 
-    /// Whether endings were found or heard of since the last call.
+    /// Returns whether crashes were found here or announced by peers since the last call.
     pub fn take_unannounced(&mut self) -> bool {
         std::mem::take(&mut self.unannounced)
     }
 
-    /// Requests that this router is to enter in the store.
+    /// Returns the requests whose entries this router has to write to the store.
     pub fn unsaved(&self) -> Vec<Fingerprint> {
         let unsaved = self.held.iter().filter(|(_, held)| held.is_unsaved);
         unsaved.map(|(request, _)| *request).collect()
     }
 
-    /// A request was entered in the store.
+    /// Handles a completed write of a request's entry to the store.
     pub fn on_saved(&mut self, now: Instant, request: Fingerprint) {
         if let Some(held) = self.held.get_mut(&request) {
             held.is_unsaved = false;
@@ -258,25 +277,27 @@
         }
     }
 
-    /// The store was set back, and may have lost entries: what is held back is announced to peers and entered anew.
+    /// Handles a store that was reverted to an older copy and may have lost entries: quarantined
+    /// requests are announced to peers and written to the store again.
     pub fn on_set_back(&mut self) {
         self.held
             .values_mut()
             .for_each(|held| held.is_stored = false);
     }
 
-    /// Requests that are held back, and for how long still.
+    /// Returns the quarantined requests, each with the time left.
     pub fn held(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
         let held = self.held.iter();
         held.map(move |(request, held)| (*request, held.until.since(now)))
     }
 
-    /// Suspects that are remembered.
+    /// Number of suspected requests that are remembered.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Forgets what is over; returns the requests that are let through again.
+    /// Removes crashes and quarantines whose time is over; returns the requests that are accepted
+    /// again.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Fingerprint> {
         self.suspects.retain(|_, endings| {
             endings.retain(|e| now.since(e.at) < HELD_FOR);
@@ -286,7 +307,8 @@
         over.map(|(request, _)| request).collect()
     }
 
-    /// Notes an ending that was found at `at`; returns whether its request is held back for it.
+    /// Records a crash that was found at `at`; returns the change if its request is quarantined as
+    /// a result.
     fn find(
         &mut self,
         now: Instant,
@@ -315,7 +337,7 @@
         Some(Change::HeldBack)
     }
 
-    /// Holds a request back until then at least; returns whether it was so before.
+    /// Quarantines a request until `until` at least; returns whether it was quarantined before.
     fn hold(&mut self, until: Instant, request: Fingerprint) -> bool {
         if let Some(held) = self.held.get_mut(&request) {
             held.until = held.until.max(until);
@@ -335,7 +357,8 @@
         false
     }
 
-    /// Makes room for one more suspect; the one with the fewest and oldest endings goes.
+    /// Makes room for one more suspect, by removing the one with the fewest crashes, and of several
+    /// such ones the one whose last crash is the oldest.
     fn make_room(&mut self, request: Fingerprint) {
         if self.suspects.len() < SUSPECTS || self.suspects.contains_key(&request) {
             return;
--- a/src/withdrawals.rs
+++ b/src/withdrawals.rs
@@ -1,8 +1,10 @@
-//! Targets that want no calls, as they say in the heads of their answers: for good as they leave, or for a while.
+//! Targets that ask for no calls in the headers of their answers: for good as they are leaving, or
+//! for a while as they back off.
 //!
-//! Decides from these alone, for the router that got them, which targets get nothing. A target's entry in the list says that it leaves
-//! too, but later, and not while the store is away; it never says that a target wants nothing for a while. What was said
-//! holds for that life of the target, whatever becomes of its entry; its next life has another [`TargetId`].
+//! Decides from these headers alone which targets get no calls from the router that received them.
+//! A target's entry in the list also says that it is leaving, but later, and not while the store is
+//! unavailable; it never says that a target backs off. A withdrawal applies until the target
+//! restarts, whatever happens to its entry; after a restart the target has another [`TargetId`].
 
 use std::{fmt, num::NonZeroUsize, rc::Rc, str::FromStr, time::Duration};
 
@@ -16,17 +18,17 @@
     units::Instant,
 };
 
-/// What a target says of itself beside its answer to a call.
+/// A target's request for no calls, sent with its answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// It leaves, and wants no further calls.
+    /// The target is leaving, and accepts no further calls.
     Leaving,
-    /// It wants none for a while.
+    /// The target accepts no calls for a while.
     Backoff(Backoff),
 }
 
 impl Withdrawal {
-    /// Its name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
@@ -34,7 +36,7 @@
         }
     }
 
-    /// For how long it wants none, where that is not for good.
+    /// Returns how long the target accepts no calls; `None` where that is for good.
     pub fn backoff(self) -> Option<Duration> {
         match self {
             Self::Leaving => None,
@@ -42,7 +44,8 @@
         }
     }
 
-    /// What a head says that may name both: a target that leaves wants no calls after that time either.
+    /// Returns the withdrawal that headers state, which may name both kinds: a target that is
+    /// leaving accepts no calls after a backoff either.
     pub fn said(leaving: bool, backoff: Option<Backoff>) -> Option<Self> {
         match backoff {
             _ if leaving => Some(Self::Leaving),
@@ -51,22 +54,23 @@
     }
 }
 
-/// How long a target wants no calls from this router, as it says when it turns one away.
+/// Time for which a target accepts no calls from this router, as the target states when it rejects
+/// a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Backoff(Duration);
 
-/// Longer ones are taken for no time at all: no target lives to see their end, and one garbled digit would shut
-/// it out for good.
+/// Maximum backoff; a longer one is ignored. No target runs until the end of such a backoff, and
+/// one garbled digit would exclude the target for good.
 const LONGEST: Duration = Duration::from_hours(24);
 
 impl Backoff {
-    /// How long it is.
+    /// Returns the length of the backoff.
     pub fn duration(self) -> Duration {
         self.0
     }
 }
 
-/// Reads seconds with or without a fraction; neither signs, exponents nor dates.
+/// Parses seconds with or without a fraction; signs, exponents and dates are rejected.
 impl FromStr for Backoff {
     type Err = IdError;
 
@@ -86,29 +90,32 @@
     }
 }
 
-/// What a caller is asked to stay away beyond a backoff, in parts of it: routers were not asked at the same moment, and it may return
-/// through another one. Of callers that were refused by the plain time 0.28 to 0.44 are refused again, with this 0.08 to 0.33
-/// (`tests/load/withdrawals.rs`, all targets, 7 routers).
+/// Extra time that a caller is asked to stay away after a backoff, as a fraction of the backoff.
+/// Routers were not asked for the backoff at the same moment, and the caller may return through
+/// another one. Of the callers that were rejected with the plain backoff, 0.28 to 0.44 are rejected
+/// again; with this margin, 0.08 to 0.33 (`tests/load/withdrawals.rs`, all targets, 7 routers).
 const BACKOFF_MARGIN: f64 = 0.1;
 
-/// The part of a backoff by which callers are spread beyond that.
+/// Fraction of a backoff by which callers are spread beyond that margin.
 const BACKOFF_SPREAD: f64 = 0.2;
 
-/// The pause for a caller where no target wants calls before `backoff` is over: never less, however long it waits in
-/// all, as each earlier return is refused again.
+/// Returns the pause for a caller where no target accepts calls before `backoff` is over. It is
+/// never shorter, however long the caller is willing to wait, as each earlier retry is rejected
+/// again. `draw`, from 0 to 1, spreads the callers.
 pub fn come_back(backoff: Duration, draw: f64) -> Duration {
     backoff.mul_f64(1.0 + BACKOFF_MARGIN + BACKOFF_SPREAD * draw)
 }
 
-/// Lives of targets that are remembered, those that said something last: three times the targets of the largest
-/// deployment to design for.
+/// Maximum number of target instances whose withdrawals are remembered, the latest ones: three
+/// times the targets of the largest deployment to design for.
 const REMEMBERED: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
 
-/// What is remembered of a target.
+/// Withdrawal of one target.
 #[derive(Debug, Clone, Copy)]
 struct Said {
+    /// When the target first asked for no calls.
     at: Instant,
-    /// Until when it wants no calls; `None` for good.
+    /// End of the withdrawal; `None` where it is for good.
     until: Option<Instant>,
 }
 
@@ -117,7 +124,7 @@
         self.until.is_none_or(|until| now < until)
     }
 
-    /// What it comes to with what was said before: of two times the later end counts.
+    /// Merges a withdrawal with the one before: it began with the first, and the later end counts.
     fn with(self, before: Option<Self>) -> Self {
         before.map_or(self, |before| Self {
             at: before.at,
@@ -126,16 +133,16 @@
     }
 }
 
-/// A target that wants no calls now.
+/// Withdrawal of a target that accepts no calls now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Withdrawn {
-    /// How long ago it said so first.
+    /// Time since the target first asked for no calls.
     pub age: Duration,
-    /// For how much longer; `None` for good.
+    /// Time left; `None` where it is for good.
     pub left: Option<Duration>,
 }
 
-/// Which targets want no calls from this router.
+/// Targets that accept no calls from this router.
 #[derive(Debug)]
 pub struct Withdrawals {
     said: LruCache<TargetId, Said, FxBuildHasher>,
@@ -150,7 +157,8 @@
 }
 
 impl Withdrawals {
-    /// A target said something of itself; returns whether that is news: it got calls until now, or leaves where it only backed off.
+    /// Records a withdrawal. Returns whether it is a change: the target accepted calls until now,
+    /// or is leaving where it only backed off before.
     pub fn on_said(&mut self, now: Instant, target: &TargetId, withdrawal: Withdrawal) -> bool {
         let before = self.said.peek(target).copied().filter(|b| b.is_on(now));
         let said = Said {
@@ -162,7 +170,7 @@
         before.is_none_or(|b| b.until.is_some() && said.until.is_none())
     }
 
-    /// Whether a target wants no calls, and for how long.
+    /// Returns the withdrawal of a target that accepts no calls now.
     pub fn of(&self, now: Instant, target: &TargetId) -> Option<Withdrawn> {
         let said = self.said.peek(target).filter(|s| s.is_on(now))?;
         Some(Withdrawn {
@@ -171,7 +179,7 @@
         })
     }
 
-    /// The targets that want calls.
+    /// Returns the targets that accept calls.
     pub fn without<'a>(
         &self,
         now: Instant,
@@ -181,7 +189,7 @@
         open.collect()
     }
 
-    /// Why none of these targets gets calls; `None` where one wants some.
+    /// Returns why none of these targets accepts calls; `None` where one does.
     pub fn none_of(&self, now: Instant, targets: &[Rc<TargetRecord>]) -> Option<NoChoice> {
         let all: Option<Vec<Withdrawn>> = targets.iter().map(|t| self.of(now, &t.id)).collect();
         let soonest = all?.into_iter().filter_map(|w| w.left).min();
@@ -191,7 +199,7 @@
         })
     }
 
-    /// Forgets times that are over; returns their targets.
+    /// Removes backoffs that are over; returns their targets.
     pub fn on_tick(&mut self, now: Instant) -> Vec<TargetId> {
         let over = self.said.iter().filter(|(_, s)| !s.is_on(now));
         let over: Vec<TargetId> = over.map(|(id, _)| id.clone()).collect();
@@ -201,7 +209,7 @@
         over
     }
 
-    /// How many targets want no calls, for good and for a while.
+    /// Number of targets that accept no calls: those for good, and those for a while.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
         let on = self.said.iter().filter(|(_, s)| s.is_on(now));
         let for_good = on.clone().filter(|(_, s)| s.until.is_none()).count();
