--- a/src/claims.rs
+++ b/src/claims.rs
@@ -228,8 +228,8 @@
 
     /// Whether a chunk is sealed and all of its records are past their retention time.
     pub fn is_expired(chunk: &Chunk, now_s: u64) -> bool {
-        let old = |r: &Record| r.at_s + RETENTION_S < now_s;
-        chunk.sealed && chunk.records.iter().all(old)
+        let is_past_retention = |r: &Record| r.at_s + RETENTION_S < now_s;
+        chunk.sealed && chunk.records.iter().all(is_past_retention)
     }
 
     /// Number of keys that are remembered.
@@ -251,17 +251,17 @@
             false => (self.number, self.last.clone()),
         };
         chunk.records.extend(&self.lost);
-        let mut after = HashMap::new();
+        let mut batched = HashMap::new();
         let mut verdicts = Vec::with_capacity(steps.len());
         for step in steps {
-            let known = after
+            let known = batched
                 .get(&step.key)
                 .or_else(|| self.standing.get(&step.key));
             let record = Record { step: *step, at_s };
-            let verdict = judge(known.copied(), &record, self.standing.len() + after.len());
+            let verdict = judge(known.copied(), &record, self.standing.len() + batched.len());
             if verdict == ClaimVerdict::Recorded && !repeats(known.copied(), step) {
                 chunk.records.push(record);
-                after.insert(step.key, standing(&record));
+                batched.insert(step.key, standing(&record));
             }
             verdicts.push(verdict);
         }
@@ -334,7 +334,7 @@
 fn judge(known: Option<Standing>, record: &Record, remembered: usize) -> ClaimVerdict {
     use ClaimKind::{Claim, Done, Release};
     let step = &record.step;
-    let open_for = |s: &Standing| record.at_s.saturating_sub(s.at_s);
+    let age_s = |s: &Standing| record.at_s.saturating_sub(s.at_s);
     match (step.kind, known) {
         (Claim, None) if remembered >= SHARD_LIMIT => ClaimVerdict::NotRecorded,
         (Claim, None) => ClaimVerdict::Recorded,
@@ -344,7 +344,7 @@
         (Claim, Some(s)) if s.request == step.request && s.kind == Claim => ClaimVerdict::Recorded,
         (_, Some(s)) if s.kind == Done && s.outcome == 0 => ClaimVerdict::Unknown,
         (_, Some(s)) if s.kind == Done => ClaimVerdict::Ran(s.outcome),
-        (_, Some(s)) if open_for(&s) >= RUNNING_S => ClaimVerdict::Unknown,
+        (_, Some(s)) if age_s(&s) >= RUNNING_S => ClaimVerdict::Unknown,
         (_, Some(_)) => ClaimVerdict::Running,
         (_, None) => ClaimVerdict::NotRecorded,
     }
@@ -352,7 +352,7 @@
 
 /// Whether a step is recorded already, as when it is repeated because its answer was lost.
 fn repeats(known: Option<Standing>, step: &ClaimStep) -> bool {
-    let same =
+    let is_same =
         |s: Standing| (s.request, s.kind, s.outcome) == (step.request, step.kind, step.outcome);
-    known.is_some_and(same)
+    known.is_some_and(is_same)
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -106,11 +106,11 @@
     /// Returns, once, whether the time after a reversion of the store is over. The content of the
     /// store is then to be listed again.
     pub fn take_settled(&mut self, now: Instant) -> bool {
-        let is_over = self.settles_at.is_some_and(|at| now >= at);
-        if is_over {
+        let is_settled = self.settles_at.is_some_and(|at| now >= at);
+        if is_settled {
             self.settles_at = None;
         }
-        is_over
+        is_settled
     }
 
     /// Whether a listed entry undoes what was known from an earlier era of the store.
@@ -170,11 +170,11 @@
                 changes.extend(self.put(now, record, at));
             }
         }
-        let newer = |l: &Listed| l.revision > revision;
+        let is_newer = |l: &Listed| l.revision > revision;
         let missing: Vec<TargetName> = self
             .targets
             .iter()
-            .filter(|(name, l)| !listed.contains(*name) && !newer(l))
+            .filter(|(name, l)| !listed.contains(*name) && !is_newer(l))
             .map(|(name, _)| name.clone())
             .collect();
         for name in missing {
@@ -189,8 +189,8 @@
     /// unavailable, and they count for [`RETURN_GRACE`]; returns these.
     pub fn on_recalled(&mut self, now: Instant, saved: Vec<TargetRecord>) -> Vec<TargetId> {
         let all = saved.len() as f64;
-        let ready = |r: &TargetRecord| r.state == TargetState::Ready;
-        let missing = saved.into_iter().filter(ready);
+        let is_ready = |r: &TargetRecord| r.state == TargetState::Ready;
+        let missing = saved.into_iter().filter(is_ready);
         // A target that restarted is listed under its name, though as another instance.
         let missing = missing.filter(|r| !self.targets.contains_key(r.id.name()));
         let missing: Vec<TargetRecord> = missing.collect();
@@ -216,9 +216,11 @@
     /// targets of services with few. So the saved data does not grow with the number of targets in
     /// the fleet.
     pub fn worth_keeping(&self, has_read: impl Fn(&TargetId) -> bool) -> Vec<TargetRecord> {
-        let is_of_few = |t: &TargetRecord| self.serving(&t.service).len() < FEW_TARGETS;
-        let worth = self.all().filter(|t| has_read(&t.id) || is_of_few(t));
-        worth.map(|t| TargetRecord::clone(t)).collect()
+        let is_of_small_service = |t: &TargetRecord| self.serving(&t.service).len() < FEW_TARGETS;
+        let to_save = self
+            .all()
+            .filter(|t| has_read(&t.id) || is_of_small_service(t));
+        to_save.map(|t| TargetRecord::clone(t)).collect()
     }
 
     /// Applies the whole list from the operators' configuration. A target that is not on it is gone
@@ -242,11 +244,11 @@
         if self.missing_until.is_none_or(|until| now < until) {
             return Vec::new();
         }
-        let over = |l: &mut Listed| l.missing_until.is_some_and(|until| now >= until);
-        let gone = self.targets.extract_if(.., |_, listed| over(listed));
-        let gone: Vec<TargetId> = gone.map(|(_, l)| l.record.id.clone()).collect();
+        let is_expired = |l: &mut Listed| l.missing_until.is_some_and(|until| now >= until);
+        let expired = self.targets.extract_if(.., |_, listed| is_expired(listed));
+        let expired: Vec<TargetId> = expired.map(|(_, l)| l.record.id.clone()).collect();
         self.index();
-        gone
+        expired
     }
 
     /// Handles a write that evacuates a data hall or takes it back into service; returns whether
@@ -302,18 +304,18 @@
         !self.cold.is_empty() || self.evacuations.is_any_taken_back()
     }
 
-    /// Returns when a target becomes warm, where targets of its service are cold for `lasts`;
+    /// Returns when a target becomes warm, where targets of its service are cold for `cold_time`;
     /// `None` if it is warm. A target in a data hall that was taken back into service is assumed to
     /// be cold, as it says so itself only with its next entry.
     pub fn cold_until(
         &self,
         now: Instant,
         target: &TargetRecord,
-        lasts: Duration,
+        cold_time: Duration,
     ) -> Option<Instant> {
-        let by_entry = self.cold.get(&target.id).copied();
-        let back = self.evacuations.taken_back_at(&target.data_hall);
-        let until = by_entry.max(back.map(|at| at + lasts));
+        let entry_until = self.cold.get(&target.id).copied();
+        let taken_back_at = self.evacuations.taken_back_at(&target.data_hall);
+        let until = entry_until.max(taken_back_at.map(|at| at + cold_time));
         until.filter(|until| now < *until)
     }
 
@@ -364,12 +366,12 @@
     }
 
     fn remove(&mut self, now: Instant, name: TargetName, revision: StoreRevision) -> Changes {
-        let grace = self.grace_until.filter(|until| now < *until);
+        let grace_until = self.grace_until.filter(|until| now < *until);
         let Some(listed) = self.targets.get_mut(&name) else {
             return Changes::new();
         };
         let id = listed.record.id.clone();
-        match grace {
+        match grace_until {
             _ if listed.revision > revision => Changes::new(),
             Some(_) if listed.missing_until.is_some() => Changes::new(),
             Some(until) if listed.record.state == TargetState::Ready => {
--- a/src/evacuation.rs
+++ b/src/evacuation.rs
@@ -39,19 +39,19 @@
     ) -> bool {
         let before = self.halls.get(&hall).copied();
         match before {
-            Some(stated) if stated.revision >= revision => return false,
+            Some(statement) if statement.revision >= revision => return false,
             None if !is_evacuated => return false,
             _ => {}
         }
-        let is_new = before.is_none_or(|b| b.is_evacuated != is_evacuated);
-        let at = before.filter(|_| !is_new).map_or(now, |b| b.at);
-        let stated = Stated {
+        let is_change = before.is_none_or(|b| b.is_evacuated != is_evacuated);
+        let at = before.filter(|_| !is_change).map_or(now, |b| b.at);
+        let statement = Stated {
             revision,
             at,
             is_evacuated,
         };
-        self.halls.insert(hall, stated);
-        is_new
+        self.halls.insert(hall, statement);
+        is_change
     }
 
     /// Applies the list of all halls that are evacuated as of `revision`; returns the halls whose
@@ -65,9 +65,9 @@
         let is_missing = |hall: &&DataHall| !list.iter().any(|(listed, _)| listed == *hall);
         let missing: Vec<DataHall> = self.halls.keys().filter(is_missing).cloned().collect();
         let listed = list.into_iter().map(|(hall, at)| (hall, true, at));
-        let ended = missing.into_iter().map(|hall| (hall, false, revision));
+        let taken_back = missing.into_iter().map(|hall| (hall, false, revision));
         let mut changed = Vec::new();
-        for (hall, is_evacuated, at) in listed.chain(ended) {
+        for (hall, is_evacuated, at) in listed.chain(taken_back) {
             if self.on_change(now, hall.clone(), is_evacuated, at) {
                 changed.push(hall);
             }
@@ -79,11 +79,11 @@
     /// have a statement here already; returns the halls that were added.
     pub fn on_copy(&mut self, now: Instant, list: Vec<(DataHall, StoreRevision)>) -> Vec<DataHall> {
         let is_new = |(hall, _): &(DataHall, StoreRevision)| !self.halls.contains_key(hall);
-        let new: Vec<_> = list.into_iter().filter(is_new).collect();
-        for (hall, at) in &new {
+        let added: Vec<_> = list.into_iter().filter(is_new).collect();
+        for (hall, at) in &added {
             self.on_change(now, hall.clone(), true, *at);
         }
-        new.into_iter().map(|(hall, _)| hall).collect()
+        added.into_iter().map(|(hall, _)| hall).collect()
     }
 
     /// Whether the targets of a hall get no calls.
@@ -93,8 +93,8 @@
 
     /// Returns the evacuated halls, each with the time at which this router learned of it.
     pub fn evacuated(&self) -> impl Iterator<Item = (&DataHall, Instant)> {
-        let on = self.halls.iter().filter(|(_, s)| s.is_evacuated);
-        on.map(|(hall, s)| (hall, s.at))
+        let evacuated = self.halls.iter().filter(|(_, s)| s.is_evacuated);
+        evacuated.map(|(hall, s)| (hall, s.at))
     }
 
     /// Whether any hall was evacuated before and is not now.
@@ -104,7 +104,7 @@
 
     /// Returns when this router learned that a hall was taken back into service.
     pub fn taken_back_at(&self, hall: &DataHall) -> Option<Instant> {
-        let stated = self.halls.get(hall).filter(|s| !s.is_evacuated)?;
-        Some(stated.at)
+        let statement = self.halls.get(hall).filter(|s| !s.is_evacuated)?;
+        Some(statement.at)
     }
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -94,26 +94,26 @@
 #[derive(Debug)]
 pub struct ExplainRing {
     /// Maximum number of decisions that are kept.
-    kept: usize,
+    capacity: usize,
     records: RefCell<VecDeque<(u64, String, Decision)>>,
 }
 
 impl ExplainRing {
-    /// Creates a ring of at most `kept` decisions; with 0, nothing is recorded.
-    pub fn new(kept: usize) -> Self {
+    /// Creates a ring of at most `capacity` decisions; with 0, nothing is recorded.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            kept,
+            capacity,
             records: RefCell::default(),
         }
     }
 
     /// Records a decision, and removes the oldest one if the ring is full.
     pub fn record(&self, at_ms: u64, call: &str, decision: impl FnOnce() -> Decision) {
-        if self.kept == 0 {
+        if self.capacity == 0 {
             return;
         }
         let mut records = self.records.borrow_mut();
-        if records.len() == self.kept {
+        if records.len() == self.capacity {
             records.pop_front();
         }
         records.push_back((at_ms, call.to_owned(), decision()));
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -121,17 +121,17 @@
 impl Quarantine {
     /// Returns the time left of a request's quarantine; `None` where the request may be sent.
     pub fn held_for(&self, now: Instant, request: Fingerprint) -> Option<Duration> {
-        let held = self.held.get(&request).filter(|held| now < held.until)?;
-        Some(held.until.since(now))
+        let entry = self.held.get(&request).filter(|entry| now < entry.until)?;
+        Some(entry.until.since(now))
     }
 
     /// Handles the rejection of a quarantined request: its entry in the store is renewed if little
     /// time is left.
     pub fn on_refused(&mut self, now: Instant, request: Fingerprint) {
-        let Some(held) = self.held.get_mut(&request) else {
+        let Some(entry) = self.held.get_mut(&request) else {
             return;
         };
-        held.is_unsaved |= held.until.since(now) <= RENEWED_AT;
+        entry.is_unsaved |= entry.until.since(now) <= RENEWED_AT;
     }
 
     /// Handles an answer to a request, whatever its content, from a target that keeps running: the
@@ -139,8 +139,8 @@
     pub fn on_answered(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
         self.answered.put(request, now);
         self.suspects.remove(&request);
-        let was_held = self.held.remove(&request).is_some();
-        was_held.then_some(Change::LetThrough)
+        let was_quarantined = self.held.remove(&request).is_some();
+        was_quarantined.then_some(Change::LetThrough)
     }
 
     /// Whether a crash of a target may be attributed to a request.
@@ -158,8 +158,8 @@
     ) -> Option<Change> {
         let change = self.find(now, now, request, target);
         // Only the few routers that saw a crash themselves write the entry.
-        if let Some(held) = self.held.get_mut(&request) {
-            held.is_unsaved |= change.is_some();
+        if let Some(entry) = self.held.get_mut(&request) {
+            entry.is_unsaved |= change.is_some();
         }
         change
     }
@@ -167,28 +167,28 @@
     /// Handles crashes that a peer announced, whether it saw them itself or not. Returns the
     /// requests that are quarantined as a result.
     pub fn on_notices(&mut self, now: Instant, notices: &[EndingNotice]) -> Vec<Fingerprint> {
-        let mut held = Vec::new();
+        let mut quarantined = Vec::new();
         for notice in notices {
             let at = now.before(Duration::from_millis(u64::from(notice.age_ms)));
-            let found = self.find(now, at, notice.fingerprint, notice.target);
-            held.extend(found.map(|_| notice.fingerprint));
+            let change = self.find(now, at, notice.fingerprint, notice.target);
+            quarantined.extend(change.map(|_| notice.fingerprint));
         }
-        held
+        quarantined
     }
 
     /// Handles an entry in the store, which quarantines a request at all routers.
     pub fn on_stored(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
-        let before = self.hold(now + HELD_FOR, request);
-        if let Some(held) = self.held.get_mut(&request) {
-            held.is_stored = true;
+        let was_quarantined = self.hold(now + HELD_FOR, request);
+        if let Some(entry) = self.held.get_mut(&request) {
+            entry.is_stored = true;
         }
-        (!before).then_some(Change::HeldBack)
+        (!was_quarantined).then_some(Change::HeldBack)
     }
 
     /// Handles quarantined requests that a peer does not know to be in the store. Returns those
     /// that are quarantined here as a result.
     pub fn on_held_notices(&mut self, now: Instant, notices: &[HeldNotice]) -> Vec<Fingerprint> {
-        let mut held = Vec::new();
+        let mut quarantined = Vec::new();
         for HeldNotice {
             fingerprint,
             left_s,
@@ -196,10 +196,10 @@
         {
             let left = Duration::from_secs(u64::from(*left_s)).min(HELD_FOR);
             if self.may_suspect(now, *fingerprint) && !self.hold(now + left, *fingerprint) {
-                held.push(*fingerprint);
+                quarantined.push(*fingerprint);
             }
         }
-        held
+        quarantined
     }
 
     /// Returns the quarantined requests that have no entry in the store, as the store is
@@ -207,12 +207,12 @@
     /// routers that start in the meantime would send such a request on, and targets would crash
     /// under it again.
     pub fn held_notices(&self, now: Instant) -> Vec<HeldNotice> {
-        let untold = self.held.iter().filter(|(_, held)| !held.is_stored);
-        let notice = |(request, held): (&Fingerprint, &Held)| HeldNotice {
+        let unstored = self.held.iter().filter(|(_, entry)| !entry.is_stored);
+        let notice = |(request, entry): (&Fingerprint, &Held)| HeldNotice {
             fingerprint: *request,
-            left_s: held.until.since(now).as_secs() as u16,
+            left_s: entry.until.since(now).as_secs() as u16,
         };
-        let mut notices: Vec<HeldNotice> = untold.map(notice).collect();
+        let mut notices: Vec<HeldNotice> = unstored.map(notice).collect();
         notices.sort_unstable_by_key(|n| u16::MAX - n.left_s);
         notices.truncate(HELD_NOTICES);
         notices
@@ -222,9 +222,9 @@
     /// that it writes their entries. Returns whether any entry is to be written.
     pub fn on_keeper(&mut self, is_keeper: impl Fn(Fingerprint) -> bool) -> bool {
         let mut any = false;
-        for (request, held) in self.held.iter_mut().filter(|(_, held)| !held.is_stored) {
-            held.is_unsaved |= is_keeper(*request);
-            any |= held.is_unsaved;
+        for (request, entry) in self.held.iter_mut().filter(|(_, entry)| !entry.is_stored) {
+            entry.is_unsaved |= is_keeper(*request);
+            any |= entry.is_unsaved;
         }
         any
     }
@@ -233,14 +233,14 @@
     /// removed it, or a router did after a target answered the request.
     pub fn on_removed(&mut self, request: Fingerprint) -> Option<Change> {
         self.suspects.remove(&request);
-        let was_held = self.held.remove(&request).is_some();
-        was_held.then_some(Change::LetThrough)
+        let was_quarantined = self.held.remove(&request).is_some();
+        was_quarantined.then_some(Change::LetThrough)
     }
 
     /// Returns the recent crashes to announce to peers, beginning with those of the requests with
     /// the most crashes.
     pub fn notices(&self, now: Instant) -> Vec<EndingNotice> {
-        let mut found: Vec<(usize, EndingNotice)> = Vec::new();
+        let mut ranked: Vec<(usize, EndingNotice)> = Vec::new();
         for (fingerprint, endings) in &self.suspects {
             let recent = endings
                 .iter()
@@ -250,11 +250,11 @@
                     target: e.target,
                     age_ms: now.since(e.at).as_millis() as u16,
                 });
-            found.extend(recent.map(|notice| (endings.len(), notice)));
+            ranked.extend(recent.map(|notice| (endings.len(), notice)));
         }
-        found.sort_unstable_by_key(|(endings, n)| (usize::MAX - endings, n.age_ms));
-        found.truncate(NOTICES);
-        found.into_iter().map(|(_, notice)| notice).collect()
+        ranked.sort_unstable_by_key(|(endings, n)| (usize::MAX - endings, n.age_ms));
+        ranked.truncate(NOTICES);
+        ranked.into_iter().map(|(_, notice)| notice).collect()
     }
 
     /// Returns whether crashes were found here or announced by peers since the last call.
@@ -264,16 +264,16 @@
 
     /// Returns the requests whose entries this router has to write to the store.
     pub fn unsaved(&self) -> Vec<Fingerprint> {
-        let unsaved = self.held.iter().filter(|(_, held)| held.is_unsaved);
+        let unsaved = self.held.iter().filter(|(_, entry)| entry.is_unsaved);
         unsaved.map(|(request, _)| *request).collect()
     }
 
     /// Handles a completed write of a request's entry to the store.
     pub fn on_saved(&mut self, now: Instant, request: Fingerprint) {
-        if let Some(held) = self.held.get_mut(&request) {
-            held.is_unsaved = false;
-            held.is_stored = true;
-            held.until = now + HELD_FOR;
+        if let Some(entry) = self.held.get_mut(&request) {
+            entry.is_unsaved = false;
+            entry.is_stored = true;
+            entry.until = now + HELD_FOR;
         }
     }
 
@@ -282,13 +282,13 @@
     pub fn on_set_back(&mut self) {
         self.held
             .values_mut()
-            .for_each(|held| held.is_stored = false);
+            .for_each(|entry| entry.is_stored = false);
     }
 
     /// Returns the quarantined requests, each with the time left.
     pub fn held(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
-        let held = self.held.iter();
-        held.map(move |(request, held)| (*request, held.until.since(now)))
+        let entries = self.held.iter();
+        entries.map(move |(request, entry)| (*request, entry.until.since(now)))
     }
 
     /// Number of suspected requests that are remembered.
@@ -303,8 +303,8 @@
             endings.retain(|e| now.since(e.at) < HELD_FOR);
             !endings.is_empty()
         });
-        let over = self.held.extract_if(|_, held| now >= held.until);
-        over.map(|(request, _)| request).collect()
+        let expired = self.held.extract_if(|_, entry| now >= entry.until);
+        expired.map(|(request, _)| request).collect()
     }
 
     /// Records a crash that was found at `at`; returns the change if its request is quarantined as
@@ -321,11 +321,11 @@
         }
         self.make_room(request);
         let endings = self.suspects.entry(request).or_default();
-        let is_same = |e: &Ending| {
-            let apart = e.at.since(at).max(at.since(e.at));
-            e.target == target && apart < SAME_ENDING
+        let is_same_crash = |e: &Ending| {
+            let interval = e.at.since(at).max(at.since(e.at));
+            e.target == target && interval < SAME_ENDING
         };
-        if endings.iter().any(is_same) {
+        if endings.iter().any(is_same_crash) {
             return None;
         }
         endings.push(Ending { target, at });
@@ -339,21 +339,21 @@
 
     /// Quarantines a request until `until` at least; returns whether it was quarantined before.
     fn hold(&mut self, until: Instant, request: Fingerprint) -> bool {
-        if let Some(held) = self.held.get_mut(&request) {
-            held.until = held.until.max(until);
+        if let Some(entry) = self.held.get_mut(&request) {
+            entry.until = entry.until.max(until);
             return true;
         }
         if self.held.len() >= HELD {
-            let first = self.held.iter().min_by_key(|(_, held)| held.until);
-            let first = first.map(|(request, _)| *request);
-            first.and_then(|request| self.held.remove(&request));
+            let earliest = self.held.iter().min_by_key(|(_, entry)| entry.until);
+            let earliest = earliest.map(|(request, _)| *request);
+            earliest.and_then(|request| self.held.remove(&request));
         }
-        let held = Held {
+        let entry = Held {
             until,
             is_unsaved: false,
             is_stored: false,
         };
-        self.held.insert(request, held);
+        self.held.insert(request, entry);
         false
     }
 
--- a/src/withdrawals.rs
+++ b/src/withdrawals.rs
@@ -75,8 +75,8 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<Self, IdError> {
-        let is_plain = s.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-        let seconds = s.parse::<f64>().ok().filter(|_| is_plain);
+        let is_decimal = s.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+        let seconds = s.parse::<f64>().ok().filter(|_| is_decimal);
         let time = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
         let time = time.filter(|t| !t.is_zero() && *t <= LONGEST);
         time.map(Self)
@@ -161,21 +161,21 @@
     /// or is leaving where it only backed off before.
     pub fn on_said(&mut self, now: Instant, target: &TargetId, withdrawal: Withdrawal) -> bool {
         let before = self.said.peek(target).copied().filter(|b| b.is_on(now));
-        let said = Said {
+        let current = Said {
             at: now,
             until: withdrawal.backoff().map(|backoff| now + backoff),
         };
-        let said = said.with(before);
-        self.said.put(target.clone(), said);
-        before.is_none_or(|b| b.until.is_some() && said.until.is_none())
+        let current = current.with(before);
+        self.said.put(target.clone(), current);
+        before.is_none_or(|b| b.until.is_some() && current.until.is_none())
     }
 
     /// Returns the withdrawal of a target that accepts no calls now.
     pub fn of(&self, now: Instant, target: &TargetId) -> Option<Withdrawn> {
-        let said = self.said.peek(target).filter(|s| s.is_on(now))?;
+        let withdrawal = self.said.peek(target).filter(|s| s.is_on(now))?;
         Some(Withdrawn {
-            age: now.since(said.at),
-            left: said.until.map(|until| until.since(now)),
+            age: now.since(withdrawal.at),
+            left: withdrawal.until.map(|until| until.since(now)),
         })
     }
 
@@ -185,15 +185,15 @@
         now: Instant,
         targets: &'a [Rc<TargetRecord>],
     ) -> Vec<&'a Rc<TargetRecord>> {
-        let open = targets.iter().filter(|t| self.of(now, &t.id).is_none());
-        open.collect()
+        let accepting = targets.iter().filter(|t| self.of(now, &t.id).is_none());
+        accepting.collect()
     }
 
     /// Returns why none of these targets accepts calls; `None` where one does.
     pub fn none_of(&self, now: Instant, targets: &[Rc<TargetRecord>]) -> Option<NoChoice> {
         let all: Option<Vec<Withdrawn>> = targets.iter().map(|t| self.of(now, &t.id)).collect();
-        let soonest = all?.into_iter().filter_map(|w| w.left).min();
-        Some(match soonest {
+        let earliest_end = all?.into_iter().filter_map(|w| w.left).min();
+        Some(match earliest_end {
             Some(left) => NoChoice::AllBackedOff { left },
             None => NoChoice::AllLeaving,
         })
@@ -201,18 +201,18 @@
 
     /// Removes backoffs that are over; returns their targets.
     pub fn on_tick(&mut self, now: Instant) -> Vec<TargetId> {
-        let over = self.said.iter().filter(|(_, s)| !s.is_on(now));
-        let over: Vec<TargetId> = over.map(|(id, _)| id.clone()).collect();
-        for target in &over {
+        let expired = self.said.iter().filter(|(_, s)| !s.is_on(now));
+        let expired: Vec<TargetId> = expired.map(|(id, _)| id.clone()).collect();
+        for target in &expired {
             self.said.pop(target);
         }
-        over
+        expired
     }
 
     /// Number of targets that accept no calls: those for good, and those for a while.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let on = self.said.iter().filter(|(_, s)| s.is_on(now));
-        let for_good = on.clone().filter(|(_, s)| s.until.is_none()).count();
-        (for_good, on.count() - for_good)
+        let active = self.said.iter().filter(|(_, s)| s.is_on(now));
+        let for_good = active.clone().filter(|(_, s)| s.until.is_none()).count();
+        (for_good, active.count() - for_good)
     }
 }
