--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,7 +1,8 @@
-//! The time that a router's rules hang on: it goes on while the VM is suspended, as it does for everyone else.
+//! The clock for a router's ages, leases and deadlines, which includes the time that the VM was suspended.
 //!
-//! The system's steady clock, by which timers fire, stands still while a VM is suspended. Ages, proofs, leases and deadlines
-//! taken from it would be too young by that time when the VM goes on.
+//! The system's monotonic clock, which drives the timers, stops while a VM is suspended. Ages, confirmations,
+//! leases and deadlines measured with it would be too young by the duration of the suspension after the VM
+//! resumes.
 
 use std::{cell::Cell, future::Future, time::Duration};
 
@@ -11,34 +12,34 @@
 
 use crate::units::Instant;
 
-/// How long the VM was suspended since it began; grows only.
+/// Returns the total time that the VM was suspended since it booted; it never decreases.
 pub type Suspended = Box<dyn Fn() -> Duration>;
 
-/// The shortest suspension that sleepers are woken for: timers are late by as much anyhow.
+/// Minimum suspension that wakes sleeping tasks. Timers can be late by as much without a suspension.
 const NOTICED: Duration = Duration::from_millis(20);
 
-/// A router's clock.
+/// A monotonic clock that includes suspensions of the VM.
 pub struct Clock {
     epoch: tokio::time::Instant,
     suspended: Suspended,
     suspended_at_epoch: Duration,
-    /// The longest that was read: time does not go back where two readings lie apart.
+    /// Largest suspended time returned so far, so that the clock never goes backwards when readings vary.
     seen: Cell<Duration>,
-    /// What was known when waiters were last woken.
+    /// Suspended time at the last call of `on_tick`.
     waiters_know: Cell<Duration>,
     woken: Notify,
 }
 
 impl Clock {
-    /// The system's clock; where it does not tell suspensions, there are none.
+    /// Creates the system's clock. If the system does not report suspensions, they are not counted.
     pub fn system(log: &Logger) -> Self {
         if let Err(e) = system_suspended() {
-            warn!(log, "suspensions are not known"; "why" => %e);
+            warn!(log, "cannot read the suspended time of the VM, suspensions are not counted"; "why" => %e);
         }
         Self::new(Box::new(|| system_suspended().unwrap_or_default()))
     }
 
-    /// A clock that counts these suspensions beside the steady clock.
+    /// Creates a clock that adds the time returned by `suspended` to the monotonic clock.
     pub fn new(suspended: Suspended) -> Self {
         Self {
             epoch: tokio::time::Instant::now(),
@@ -50,12 +51,12 @@
         }
     }
 
-    /// The time since the clock began.
+    /// Returns the time since the clock was created, including suspensions.
     pub fn now(&self) -> Instant {
         Instant(self.epoch.elapsed() + self.suspended())
     }
 
-    /// Ends at a moment, also where the VM is suspended until then.
+    /// Sleeps until an instant, and wakes in time even if the VM is suspended in the meantime.
     pub async fn sleep_until(&self, at: Instant) {
         loop {
             let woken = self.woken.notified();
@@ -64,7 +65,7 @@
                 return;
             }
             let timer = tokio::time::sleep(at.since(now));
-            // A timer that fires a little early, or a suspension before its end, leads to another look.
+            // The loop checks the time again if the timer fired early or a suspension ended the wait.
             tokio::select! {
                 () = timer => {}
                 () = woken => {}
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What a future comes to, or `None` if that takes until a moment.
+    /// Returns the future's output, or `None` if it is not ready by the instant `at`.
     pub async fn timeout_at<F: Future>(&self, at: Instant, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Wakes who sleeps if the VM was suspended since the last call; returns for how long it was.
+    /// Wakes sleeping tasks if the VM was suspended since the last call, and returns for how long it was.
     pub fn on_tick(&self) -> Option<Duration> {
         let suspended = self.suspended();
         let lately = suspended.saturating_sub(self.waiters_know.replace(suspended));
@@ -100,9 +101,9 @@
     }
 }
 
-/// What the clock that counts suspensions is ahead of the one that does not.
+/// Computes the suspended time as the difference of the clocks with and without suspensions.
 fn system_suspended() -> nix::Result<Duration> {
-    // In this order a pause between the readings makes it less, which is passed over.
+    // With this order a pause between the readings makes the result smaller, which `suspended` ignores.
     let counts_all = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME)?);
     let steady = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC)?);
     Ok(counts_all.saturating_sub(steady))
--- a/src/config/freshness.rs
+++ b/src/config/freshness.rs
@@ -1,32 +1,33 @@
-//! How old may what this router knows of the configuration be?
+//! Tracks when the applied configuration was last confirmed to be the current one.
 //!
-//! A proof is a moment of this router's steady clock at which the store is known to have held
-//! the configuration that is applied here. It is taken from when a call was *sent*, never from when
-//! its answer was read: an answer may have waited in a socket while the process was paused.
+//! A confirmation is an instant of this router's monotonic clock at which the store is known to have
+//! held the applied configuration. It is the time at which the request was *sent*, never the time at
+//! which its response was read: a response may have waited in a socket while the process was paused.
 
 use std::time::Duration;
 
 use crate::units::{ConfigVersion, Instant};
 
-/// The part of the revocation bound for which a proof is relied on. A watch may hear nothing for
-/// a second while the store's history is dropped, which the rest has to cover: of five seconds
-/// 3.85 and that one leave a margin of 0.15.
+/// Fraction of the revocation bound for which a confirmation is valid. A watch may return nothing for
+/// one second while the store drops its history, and the remainder has to cover that: with a bound of
+/// 5 s, 3.85 s plus that second leave a margin of 0.15 s.
 const TRUSTED_PART: f64 = 0.77;
 
-/// What a peer says of its own knowledge, in answer to a datagram of ours.
+/// A peer's confirmation of the configuration that it applies, in reply to one of our datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Vouch {
-    /// When we sent the datagram that the peer had seen, by our clock.
+    /// When we sent the datagram that the peer replies to, by our clock.
     pub echo: Instant,
-    /// How old the peer's proof was when it answered.
+    /// Age of the peer's confirmation when it replied.
     pub age: Duration,
-    /// The configuration that the peer applies.
+    /// Version of the configuration that the peer applies.
     pub version: ConfigVersion,
 }
 
-/// A moment of this router's clock, in microseconds, which may lie before the clock began: peers vouch with proofs that are older than
-/// this router's life. Counted from its start, each restart would make them younger, and keys that were taken
-/// away would work on.
+/// An instant of this router's clock in microseconds, negative if it lies before the clock's epoch.
+///
+/// A peer's confirmation can be older than this process. If such a confirmation were clamped to the
+/// process start, each restart would make it younger, and revoked keys would continue to work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ProvenAt(i64);
 
@@ -49,36 +50,42 @@
     i64::try_from(time.as_micros()).unwrap_or(i64::MAX)
 }
 
-/// The youngest proof of the applied configuration.
+/// The most recent confirmation of the applied configuration.
 #[derive(Debug, Default)]
 pub struct Freshness {
     proven_at: Option<ProvenAt>,
     version: ConfigVersion,
-    /// The latest that any peer applies.
+    /// Latest version that any peer has reported to apply.
     vouched: ConfigVersion,
-    /// Until when the store, which was set back, may lack a configuration that nobody here has seen.
+    /// End of the period after a store rollback in which the store may lack a configuration that this
+    /// router has not seen either.
     unsettled_until: Option<Instant>,
 }
 
 impl Freshness {
-    /// A newer configuration was applied. The proof stays: it says that nothing newer than the applied one existed at that
-    /// moment, and a newer one holds all that was revoked by then.
+    /// Records that a newer configuration was applied.
+    ///
+    /// The confirmation remains valid: at that instant nothing newer than the applied configuration
+    /// existed, and a newer one includes every revocation made until then.
     pub fn on_applied(&mut self, version: ConfigVersion) {
         self.version = self.version.max(version);
     }
 
-    /// The store was set back, and what it lost is written again by then.
+    /// Records that the store was rolled back to an older copy; the lost writes are expected to be
+    /// restored by `settled_at`.
     pub fn on_set_back(&mut self, settled_at: Instant) {
         self.unsettled_until = Some(settled_at);
     }
 
-    /// The operators have written their configuration since the store was set back.
+    /// Records that the operators have written their configuration since the store was rolled back.
     pub fn on_written_again(&mut self) {
         self.unsettled_until = None;
     }
 
-    /// The store answered a consistent call sent at `sent`, and held the configuration `stored`. One that holds an older
-    /// configuration than is in force anywhere has lost what came after it, and proves nothing.
+    /// Records that the store answered a consistent read sent at `sent` and held the configuration `stored`.
+    ///
+    /// A store whose configuration is older than one in force at any router has lost later writes and
+    /// confirms nothing.
     pub fn on_confirmed(&mut self, sent: Instant, stored: Option<ConfigVersion>) {
         let latest = self.version.max(self.vouched);
         let is_settled = self.unsettled_until.is_none_or(|until| sent >= until);
@@ -87,8 +94,10 @@
         }
     }
 
-    /// A peer vouches for the configuration that it applies. A later one that is applied here holds all
-    /// that the peer's held; an earlier one is not vouched for.
+    /// Records a peer's confirmation of the configuration that it applies.
+    ///
+    /// It also confirms a later configuration applied here, which includes everything in the peer's, but
+    /// not an earlier one.
     pub fn on_vouch(&mut self, vouch: Vouch) {
         let proof = ProvenAt::before(vouch.echo, vouch.age);
         self.vouched = self.vouched.max(vouch.version);
@@ -97,17 +106,17 @@
         }
     }
 
-    /// The age of the youngest proof; `None` before the first.
+    /// Returns the age of the most recent confirmation, or `None` before the first.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.proven_at.map(|at| at.age(now))
     }
 
-    /// The configuration that is applied.
+    /// Returns the version of the applied configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Whether a key that this configuration holds may still be relied on.
+    /// Returns whether the confirmation is recent enough to accept keys of the applied configuration.
     pub fn may_use_keys(&self, now: Instant, revoke_bound: Duration) -> bool {
         self.age(now)
             .is_some_and(|age| age < revoke_bound.mul_f64(TRUSTED_PART))
--- a/src/config/log.rs
+++ b/src/config/log.rs
@@ -1,4 +1,4 @@
-//! The log of accepted changes as one router knows it: it only ever moves forward.
+//! One router's copy of the log of accepted changes. Its revision only increases.
 
 use std::{collections::VecDeque, fmt, sync::Arc};
 
@@ -7,10 +7,10 @@
 use super::{Edit, FleetConfig};
 use crate::ids::{ChangeId, Revision};
 
-/// How many recent changes a router keeps to answer a neighbour that lags.
+/// Maximum number of recent changes that a router keeps for peers that lag behind.
 pub const RING: usize = 512;
 
-/// What a configuration's history hashes to.
+/// Hash of a configuration's history of changes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest(pub [u8; 32]);
@@ -43,26 +43,26 @@
     }
 }
 
-/// An accepted change.
+/// An accepted change of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Its place in the order, from 1.
+    /// Position in the log, starting at 1.
     pub revision: Revision,
-    /// Its own id, by which a lost answer is settled.
+    /// Unique id, by which an operator whose response was lost finds out whether the change was accepted.
     pub id: ChangeId,
-    /// The operator.
+    /// Name of the operator who made the change.
     pub author: String,
-    /// Why, in the operator's words.
+    /// The operator's reason, as free text.
     pub reason: String,
-    /// The digest of the history before it.
+    /// Digest of the history before this change.
     pub previous: Digest,
-    /// What it does, in order.
+    /// Edits that the change makes, in order.
     pub edits: Vec<Edit>,
 }
 
 impl Change {
-    /// The digest of the history that ends with this change.
+    /// Computes the digest of the history that ends with this change.
     pub fn digest(&self) -> Digest {
         let mut h = blake3::Hasher::new();
         h.update(&self.previous.0);
@@ -71,43 +71,43 @@
     }
 }
 
-/// A whole configuration with its place in the history.
+/// A complete configuration with its position in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// The last change it holds.
+    /// Last change that it includes.
     pub revision: Revision,
-    /// The digest of the history up to it.
+    /// Digest of the history up to and including that change.
     pub digest: Digest,
     /// The configuration.
     pub config: FleetConfig,
 }
 
-/// What became of a change that was offered to the log.
+/// Result of adding a change or a snapshot to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is in force now.
+    /// It was applied.
     Applied,
-    /// It was in force already, or is older than what is.
+    /// It was already applied, or is older than the current configuration.
     Old,
-    /// Changes before it are missing.
+    /// Changes that precede it are missing.
     Gap,
-    /// It stands at a known place with another content, or follows another history.
+    /// Its content differs from the known change of the same revision, or it follows a different history.
     Conflict,
 }
 
-/// What a router that has `since` lacks.
+/// What a router with an older revision is missing.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Update {
-    /// Nothing.
+    /// Nothing: the router is up to date.
     Current,
-    /// These changes, in order.
+    /// The missing changes, in order.
     Changes(Vec<Arc<Change>>),
-    /// Too far behind for the ring, or of another history: the whole.
+    /// The complete configuration: the router lags by more changes than are kept, or has a different history.
     Whole(Box<Snapshot>),
 }
 
-/// The configuration in force at one router, and its recent history.
+/// The configuration in force at one router, with its recent changes.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigLog {
     revision: Revision,
@@ -117,27 +117,27 @@
 }
 
 impl ConfigLog {
-    /// The last change in force.
+    /// Returns the revision of the last applied change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The digest of the history in force.
+    /// Returns the digest of the history up to the last applied change.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<FleetConfig> {
         &self.config
     }
 
-    /// The kept changes, the oldest first.
+    /// Returns the kept changes, oldest first.
     pub fn recent(&self) -> impl Iterator<Item = &Arc<Change>> {
         self.recent.iter()
     }
 
-    /// Offers a change, whoever it comes from.
+    /// Applies a change if it directly follows the current history. Its source does not matter.
     pub fn on_change(&mut self, change: Change) -> ChangeOutcome {
         match change.revision {
             r if r <= self.revision => self.judge_old(&change),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Offers a whole configuration; one that is not newer changes nothing.
+    /// Replaces the configuration by a snapshot if the snapshot is newer.
     pub fn on_snapshot(&mut self, snapshot: Snapshot) -> ChangeOutcome {
         match snapshot.revision {
             r if r == self.revision && snapshot.digest != self.digest => ChangeOutcome::Conflict,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// What a router lacks that has the history up to `since` with this digest.
+    /// Returns what a router is missing whose history ends at `since` with this digest.
     pub fn update_since(&self, since: Revision, digest: Digest) -> Update {
         let follows = |c: &&Arc<Change>| c.revision.0 == since.0 + 1 && c.previous == digest;
         match self.recent.iter().position(|c| follows(&c)) {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The whole configuration in force.
+    /// Returns the configuration in force as a snapshot.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             revision: self.revision,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! The accepted configuration, and the one ordered log of changes that makes it.
+//! The accepted configuration and the ordered log of changes that produces it.
 //!
-//! Change `n` lies in the platform's key-value service under its own key, created by
-//! compare-and-swap on "absent": of two operators exactly one gets number `n`. Each change
-//! names the digest of the configuration before it, so a router can tell a change that
-//! follows its own history from one that belongs to a store set back to an older state.
+//! Change `n` is stored in the platform's key-value service under its own key, which is created by
+//! compare-and-swap on "absent": of two concurrent operators exactly one gets number `n`. Each change
+//! contains the digest of the history before it, so a router can distinguish a change that follows its
+//! own history from one of a store that was rolled back to an older state.
 
 pub mod freshness;
 mod log;
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -1,4 +1,4 @@
-//! What operators state: client accounts, models, services and targets.
+//! The operators' configuration: client accounts, models, services and targets.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,11 +13,11 @@
     units::{Priority, Tokens, Weight},
 };
 
-/// Everything the fleet is told to do, at one revision.
+/// The complete configuration of the fleet at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Who may call.
+    /// Accounts that may send requests.
     #[serde(default)]
     pub accounts: BTreeMap<ClientAccountId, ClientAccount>,
     /// The models that are served.
@@ -26,15 +26,15 @@
     /// The plain services that are served.
     #[serde(default)]
     pub services: BTreeMap<ServiceName, Service>,
-    /// What serves them.
+    /// Model engines and runners that serve the models and services.
     #[serde(default)]
     pub targets: BTreeMap<TargetId, Target>,
-    /// Data halls whose targets get nothing.
+    /// Data halls whose targets receive no requests.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub evacuated: BTreeSet<DataHall>,
 }
 
-/// A client account.
+/// A customer or tenant, with its keys, priority and limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
@@ -43,39 +43,39 @@
     /// The priority of its requests, unless a request asks for a lower one.
     #[serde(default)]
     pub priority: Priority,
-    /// Requests a second over the whole fleet.
+    /// Maximum rate over the whole fleet, in requests per second.
     pub requests_per_s: u32,
-    /// Requests in progress over the whole fleet.
+    /// Maximum number of requests in progress over the whole fleet.
     pub concurrency: u32,
 }
 
-/// A model.
+/// A model that engines serve.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Tokens that an answer is expected to have where the caller sets no limit.
+    /// Expected length of a response in tokens if the caller sets no limit; 0 selects the default.
     #[serde(default)]
     pub usual_answer_tokens: u32,
 }
 
-/// A plain service.
+/// A plain service, whose requests are forwarded to runners.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Calls that must not be repeated; the first rule that fits says so.
+    /// Rules for requests that must not be repeated. A request is not repeated if any rule matches it.
     #[serde(default)]
     pub unrepeatable: Vec<RouteRule>,
-    /// How long a call may take, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// Calls of a service, by method and path.
+/// Matches requests of a service by method and path.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRule {
     /// The HTTP method, in capitals.
     pub method: String,
-    /// What the path below the service begins with.
+    /// Prefix of the path that follows the service's name.
     pub path_prefix: String,
 }
 
@@ -83,21 +83,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// The region it stands in.
+    /// Region in which it runs.
     pub region: Region,
-    /// The data hall it stands in.
+    /// Data hall in which it runs.
     pub data_hall: DataHall,
-    /// What it serves.
+    /// Model or service that it serves.
     pub serves: Serves,
-    /// Its capacity beside the others.
+    /// Capacity relative to the other targets of its pool.
     #[serde(default)]
     pub weight: Weight,
-    /// The most tokens that it may have in progress, where it has such a limit.
+    /// Maximum number of tokens in progress; `None` for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub capacity_tokens: Option<Tokens>,
-    /// What operators want of it.
+    /// Whether it receives new requests.
     #[serde(default)]
     pub intent: TargetIntent,
 }
@@ -106,14 +106,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Serves {
-    /// A model engine.
+    /// The engines of a model.
     Model(ModelName),
-    /// A plain service's runner.
+    /// The runners of a plain service.
     Service(ServiceName),
 }
 
 impl Serves {
-    /// The pool's name among all pools.
+    /// Returns the pool's name, which is unique among models and services.
     pub fn pool(&self) -> ServiceName {
         match self {
             Self::Model(name) => ServiceName::of_pool("model", name.as_str()),
@@ -128,25 +128,27 @@
     }
 }
 
-/// What operators want of a target.
+/// State that operators request for a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetIntent {
-    /// It gets work.
+    /// It receives requests.
     #[default]
     Serve,
-    /// It gets no new work and finishes what it has.
+    /// It receives no new requests and finishes those in progress.
     Leave,
 }
 
-/// The hash of a key; the key itself is never kept. What is compared is a hash that nobody can
-/// choose, so the time of a comparison tells nothing of a key.
+/// Hash of a bearer key. The key itself is never stored.
+///
+/// Hashes can be compared in variable time: a caller can't choose the hash of the key that it sends, so
+/// the duration of a comparison reveals nothing about a stored key.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// The hash of a key.
+    /// Computes the hash of a key.
     pub fn of(key: &str) -> Self {
         Self(blake3::hash(key.as_bytes()).into())
     }
@@ -176,72 +178,72 @@
     }
 }
 
-/// One step of a change: puts a thing whole, or removes it.
+/// One step of a change, which replaces or removes a complete object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Edit {
     /// Adds or replaces a client account.
     PutAccount {
-        /// Its id.
+        /// Id of the account.
         id: ClientAccountId,
-        /// All of it.
+        /// The complete account.
         account: ClientAccount,
     },
-    /// Takes a client account away.
+    /// Removes a client account.
     RemoveAccount {
-        /// Its id.
+        /// Id of the account.
         id: ClientAccountId,
     },
     /// Adds or replaces a model.
     PutModel {
-        /// Its name.
+        /// Name of the model.
         id: ModelName,
-        /// All of it.
+        /// The complete model.
         model: Model,
     },
-    /// Takes a model away.
+    /// Removes a model.
     RemoveModel {
-        /// Its name.
+        /// Name of the model.
         id: ModelName,
     },
     /// Adds or replaces a service.
     PutService {
-        /// Its name.
+        /// Name of the service.
         id: ServiceName,
-        /// All of it.
+        /// The complete service.
         service: Service,
     },
-    /// Takes a service away.
+    /// Removes a service.
     RemoveService {
-        /// Its name.
+        /// Name of the service.
         id: ServiceName,
     },
     /// Adds or replaces a target.
     PutTarget {
-        /// Its id.
+        /// Id of the target.
         id: TargetId,
-        /// All of it.
+        /// The complete target.
         target: Target,
     },
-    /// Takes a target away.
+    /// Removes a target.
     RemoveTarget {
-        /// Its id.
+        /// Id of the target.
         id: TargetId,
     },
-    /// Keeps all new work away from a data hall's targets.
+    /// Stops all new requests to the targets of a data hall.
     EvacuateDataHall {
-        /// Its name.
+        /// Name of the data hall.
         id: DataHall,
     },
-    /// Ends that.
+    /// Ends the evacuation of a data hall.
     TakeDataHallBack {
-        /// Its name.
+        /// Name of the data hall.
         id: DataHall,
     },
 }
 
 impl Edit {
-    /// The thing that the edit touches, as `kind/name`.
+    /// Returns the object that the edit changes, as `kind/name`.
     pub fn subject(&self) -> String {
         match self {
             Self::PutAccount { id, .. } | Self::RemoveAccount { id } => format!("account/{id}"),
@@ -256,7 +258,7 @@
 }
 
 impl FleetConfig {
-    /// Carries one edit out.
+    /// Applies one edit.
     pub fn apply(&mut self, edit: &Edit) {
         match edit.clone() {
             Edit::PutAccount { id, account } => {
@@ -292,7 +294,7 @@
         }
     }
 
-    /// The targets of a pool that may get new work.
+    /// Returns the targets of a pool that may receive new requests.
     pub fn serving<'a>(
         &'a self,
         pool: &'a Serves,
@@ -302,7 +304,7 @@
             .filter(move |(_, t)| t.serves == *pool && t.intent == TargetIntent::Serve)
     }
 
-    /// Every reference that leads nowhere, and every value out of range, as path and reason.
+    /// Returns every dangling reference and every value out of range, each as path and reason.
     pub fn faults(&self) -> Vec<String> {
         let dangling = self.targets.iter().filter_map(|(id, t)| match &t.serves {
             Serves::Model(m) if !self.models.contains_key(m) => {
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -1,4 +1,4 @@
-//! What the operators' own configuration comes to: routes, keys and targets as they are served.
+//! Converts the operators' configuration into the routes, keys and targets that serve requests.
 
 use std::time::Duration;
 
@@ -16,44 +16,44 @@
     units::{ConfigVersion, Rank, StoreRevision, Tokens, Weight},
 };
 
-/// What the path of a plain service's calls begins with; the service's name follows.
+/// Path prefix of requests to plain services; the service's name follows it.
 pub const SERVICE_PREFIX: &str = "/services/";
 
-/// What routes of models begin with; no caller sends such a path, as chats name their model within
-/// their body.
+/// Path prefix of routes to models. Callers never send such a path, because a chat names its model in
+/// the request body.
 const MODEL_PREFIX: &str = "model ";
 
-/// Targets that one call may be sent to: the second choice also fails now and then.
+/// Maximum number of targets that one request is sent to. The second one also fails occasionally.
 const ATTEMPTS: u32 = 3;
 
-/// Calls that a target of the usual weight is taken to work on at once: what engines of the users'
-/// sheets batch.
+/// Assumed number of concurrent requests of a target of the default weight: the batch size in the data
+/// sheets of the users' engines.
 const USUAL_SLOTS: u32 = 64;
 
-/// Tokens of memory that an engine is taken to have: about that of the users' sheets.
+/// Assumed size of an engine's memory in tokens, approximately that of the users' data sheets.
 const USUAL_MEMORY: u64 = 400_000;
 
-/// Tokens that an answer is expected to have where neither the caller nor the model says.
+/// Expected length of a response if neither the caller nor the model specifies one.
 const USUAL_ANSWER: Tokens = Tokens(256);
 
-/// Bounds of the callers' side that settings give, not the configuration.
+/// Limits on callers that are given by the settings rather than the configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerRules {
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// How long a chat may take.
+    /// Maximum duration of a chat request.
     pub chat_timeout: Duration,
-    /// How long a target may be silent within an answer.
+    /// Maximum pause of a target within a response.
     pub longest_silence: Duration,
 }
 
-/// The path by which the route of a model's chats is found.
+/// Returns the path under which the route of a model's chats is registered.
 pub(crate) fn chat_path(model: &ModelName, streamed: bool) -> String {
     let answer = if streamed { "streamed" } else { "whole" };
     format!("{MODEL_PREFIX}{model} {answer}")
 }
 
-/// The configuration as calls see it.
+/// Converts the configuration into the form in which requests look it up.
 pub fn serving(config: &FleetConfig, revision: Revision, rules: &CallerRules) -> ServingConfig {
     let mut serving = ServingConfig::new(
         StoreRevision::first_era(revision.0),
@@ -73,7 +73,7 @@
     serving
 }
 
-/// The targets as calls see them.
+/// Converts the configured targets into records for target discovery.
 pub fn targets(config: &FleetConfig) -> Vec<TargetRecord> {
     let record = |(id, target): (&_, &Target)| TargetRecord {
         id: Clone::clone(id),
--- a/src/config/serving.rs
+++ b/src/config/serving.rs
@@ -1,5 +1,4 @@
-//! What is served, as routes by host and path: the form in which an operator's whole
-//! configuration arrives at once and replaces the one before.
+//! The configuration as routes by host and path. It is always replaced as a whole.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -13,97 +12,98 @@
     units::{ConfigVersion, Rank, StoreRevision, Tokens},
 };
 
-/// When a stream may be sent to another target after it may have run.
+/// When a streaming request may be sent to another target after it may have run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StreamRepeats {
-    /// Never: it runs at most once.
+    /// Never: the request runs at most once.
     #[default]
     Never,
-    /// As long as the caller has no event of it.
+    /// Until the caller has received its first event.
     UntilFirstEvent,
-    /// At any time: another target goes on after the last event that was delivered.
+    /// At any time: another target resumes after the last event that was delivered.
     Resumed,
 }
 
-/// Whether a call may be sent again, and how its answer comes.
+/// Whether a request may be repeated, and whether its response is a stream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CallKind {
-    /// Runs at most once.
+    /// The request runs at most once.
     #[default]
     Unsafe,
-    /// May run more than once.
+    /// The request may run more than once.
     Safe,
-    /// Answers with events.
+    /// The response is a stream of events.
     Stream(StreamRepeats),
 }
 
 impl CallKind {
-    /// Whether a call of which the caller has nothing yet may be sent again after it may have run.
+    /// Returns whether a request that may have run can be sent again, provided that the caller has received
+    /// nothing of its response.
     pub fn is_repeatable(self) -> bool {
         use StreamRepeats::{Resumed, UntilFirstEvent};
         matches!(self, Self::Safe | Self::Stream(UntilFirstEvent | Resumed))
     }
 
-    /// Whether another target may go on with an answer that has begun.
+    /// Returns whether another target may resume a response that has started.
     pub fn is_resumable(self) -> bool {
         self == Self::Stream(StreamRepeats::Resumed)
     }
 
-    /// Whether the answer is a series of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream(_))
     }
 }
 
-/// One route.
+/// Matches requests by host, method and path, and says how they are served.
 #[derive(Debug, Clone, Default)]
 pub struct Route {
-    /// The operator's name for it, for logs.
+    /// Name for logs.
     pub name: String,
-    /// The host it belongs to, in lower case; empty for any.
+    /// Host in lower case; empty for any.
     pub host: String,
-    /// What the path begins with.
+    /// Prefix of the path.
     pub path_prefix: String,
-    /// The one method that it takes; `None` for any.
+    /// Method; `None` for any.
     pub method: Option<Method>,
-    /// What is taken off the front of the path before the target sees it.
+    /// Prefix that is removed from the path before the request is forwarded to the target.
     pub hidden_prefix: String,
-    /// Whether and how its calls repeat.
+    /// Whether its requests may be repeated, and whether they are streams.
     pub kind: CallKind,
-    /// Whether its calls carry a key under which they are claimed, so that each runs at most once
-    /// however often its caller sends it.
+    /// Whether its requests carry an idempotency key under which they are claimed, so that each runs at most
+    /// once however often its caller sends it.
     pub claimed: bool,
-    /// The longest that a call may be held.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// The time to the answer, or to its first event, that earns full credit.
+    /// Latency goal: time to the response, or to its first event, that counts as fully on time.
     pub goal: Duration,
-    /// The longest pause between two events that is still in time.
+    /// Maximum pause between two events of a stream that counts as on time; `None` for no such goal.
     pub gap_goal: Option<Duration>,
-    /// How long a target may be silent within an answer that no other one can go on with.
+    /// Maximum pause of a target within a response that no other target can resume.
     pub longest_silence: Duration,
-    /// The most targets that one call may be sent to.
+    /// Maximum number of targets that one request is sent to.
     pub max_attempts: u32,
-    /// How urgent its calls are, unless the account says otherwise.
+    /// Urgency of its requests, unless the account has its own.
     pub rank: Rank,
-    /// Whether calls need no key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// The services that share its calls, by weight.
+    /// Services among which its requests are split, each with its weight.
     pub split: Vec<(ServiceName, u32)>,
 }
 
-/// What a call asks for, as routes see it.
+/// The parts of a request that routes match.
 #[derive(Debug, Clone, Default)]
 pub struct Asked {
-    /// The host, with its port if it was sent.
+    /// Host, including the port if one was sent.
     pub host: String,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path without its query.
+    /// Path without the query string.
     pub path: String,
 }
 
 impl Route {
-    /// The service for a call, by a hash of the call; the same for each repeat of it.
+    /// Selects the service for a request by a hash of the request, so that repeats select the same one.
     pub fn service_for(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut left = hash.checked_rem(total)?;
@@ -122,47 +122,47 @@
     }
 }
 
-/// What a service's targets have in common.
+/// Properties shared by all targets of a service.
 #[derive(Debug, Clone)]
 pub struct ServiceSpec {
-    /// The connections that one target accepts from all callers together.
+    /// Maximum number of connections that one target accepts from all routers together.
     pub max_conns: u32,
-    /// What a target bears from its start on, where that is less than later.
+    /// Load limit of a target after its start, if it is lower than later on.
     pub warm_up: Option<WarmUp>,
-    /// Facts of a model engine, where the service is one.
+    /// Properties of the model engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// What is known of a service's model engines.
+/// Properties of a service's model engines.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that the memory holds, running requests and cached prompts together.
+    /// Size of the memory in tokens, shared by running requests and cached prompts.
     pub memory_tokens: u64,
-    /// Whether an engine can take a prompt from another one's memory.
+    /// Whether an engine can fetch a cached prompt from another engine's memory.
     pub moves: bool,
-    /// Tokens that an answer is expected to have, where that counts as work in progress.
+    /// Expected length of a response; `None` if it does not count as work in progress.
     pub usual_answer: Option<Tokens>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLimits {
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Maximum time to receive a request head.
     pub header_time: Duration,
-    /// How long a body may take to arrive.
+    /// Maximum time to receive a request body.
     pub body_time: Duration,
-    /// How long a kept connection may rest.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until the first configuration: enough for any usual request.
+    /// Returns the limits that apply before the first configuration; they suffice for any common request.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -174,27 +174,27 @@
     }
 }
 
-/// A client account as a key finds it.
+/// The client account that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyHolder {
-    /// The account.
+    /// Id of the account.
     pub account: ClientAccountId,
-    /// The account's own rank, which goes before the route's.
+    /// The account's own rank, which overrides that of the route.
     pub rank: Option<Rank>,
-    /// What the account may use of the fleet, where that is limited.
+    /// Limits of the account over the whole fleet; `None` for no limits.
     pub limits: Option<AccountLimits>,
 }
 
-/// A whole configuration, ready for look-ups.
+/// A complete configuration, indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct ServingConfig {
-    /// The write of the store that made it.
+    /// Revision of the store that wrote it.
     pub revision: StoreRevision,
-    /// The operators' own number.
+    /// The operators' version number.
     pub version: ConfigVersion,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Whether calls need keys at all.
+    /// Whether requests need keys, except on public routes.
     pub keyed: bool,
     hosts: HashMap<String, Vec<Rc<Route>>>,
     services: HashMap<ServiceName, ServiceSpec>,
@@ -202,17 +202,17 @@
     keys: HashMap<KeyHash, KeyHolder>,
 }
 
-/// Why a call is not allowed, by the configuration alone.
+/// Why the configuration does not allow a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// No route fits host and path.
+    /// No route matches the request.
     NoRoute,
-    /// No key was sent, or none that an account holds.
+    /// The request has no key, or one that belongs to no account.
     WrongKey,
 }
 
 impl ServingConfig {
-    /// A configuration of these parts.
+    /// Creates a configuration without routes, services and keys.
     pub fn new(revision: StoreRevision, version: ConfigVersion, limits: CallerLimits) -> Self {
         Self {
             revision,
@@ -222,13 +222,14 @@
         }
     }
 
-    /// Whether this one takes the place of another. The operators' numbers decide: revisions of the store go back with it.
+    /// Returns whether this configuration replaces `other`. The operators' version is compared first,
+    /// because the store's revisions decrease when the store is rolled back.
     pub fn is_newer_than(&self, other: &Self) -> bool {
         let order = |c: &Self| (c.version, c.revision);
         order(self) > order(other)
     }
 
-    /// Adds a route; the longest fitting prefix is found first, and of these one for the method.
+    /// Adds a route. Look-ups prefer the longest matching prefix, then a route that names the method.
     pub fn add_route(&mut self, route: Route) {
         for (service, _) in &route.split {
             let goal = self.goals.entry(service.clone()).or_insert(route.goal);
@@ -245,12 +246,12 @@
         self.services.insert(name, spec);
     }
 
-    /// Adds a key of an account; only its hash is kept.
+    /// Adds the hash of an account's key.
     pub fn add_key(&mut self, key: KeyHash, holder: KeyHolder) {
         self.keys.insert(key, holder);
     }
 
-    /// The route for what is asked.
+    /// Returns the route for a request.
     pub fn route(&self, asked: &Asked) -> Option<&Rc<Route>> {
         let host = asked.host.as_str();
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -258,22 +259,22 @@
         routes.iter().find(|r| r.takes(asked))
     }
 
-    /// A service's facts.
+    /// Returns the properties of a service.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// The shortest goal of the routes that a service answers.
+    /// Returns the shortest latency goal among the routes of a service.
     pub fn shortest_goal(&self, name: &ServiceName) -> Option<Duration> {
         self.goals.get(name).copied()
     }
 
-    /// Who holds a key.
+    /// Returns the account that a key belongs to.
     pub fn holder(&self, key: &str) -> Option<&KeyHolder> {
         self.keys.get(&KeyHash::of(key))
     }
 
-    /// Route and account of a call, or why it is not allowed.
+    /// Returns the route and the account of a request, or why it is not allowed.
     pub fn admit(
         &self,
         asked: &Asked,
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Routes in all, for logs.
+    /// Returns the total number of routes, for logs.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,48 +1,48 @@
-//! The library's error, and the one place that prints it.
+//! The library's error type and its formatting for people.
 
 use std::io::{self, Write};
 
 use crate::{ResultCode, settings::Fault};
 
-/// What can go wrong outside a single request.
+/// An error that does not belong to a single request.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// Settings are missing or out of range; all faults at once.
-    #[error("{} settings at fault", .0.len())]
+    /// Settings are missing or invalid; lists all of them.
+    #[error("{} missing or invalid settings", .0.len())]
     Settings(Vec<Fault>),
-    /// An address could not be listened on.
+    /// Listening on an address failed.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address from the settings.
+        /// Address from the settings.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A peer, a target or the platform sent what is not understood.
+    /// A peer, a target or the platform sent a message that could not be decoded.
     #[error("protocol: {0}")]
     Protocol(String),
-    /// A socket failed.
+    /// An operation on a socket or a file failed.
     #[error("i/o: {0}")]
     Io(#[from] io::Error),
-    /// The platform's service did not answer.
+    /// The platform's metadata store did not answer.
     #[error("platform: {0}")]
     Platform(String),
-    /// Something else that has a code.
+    /// Any other error that has a result code.
     #[error("{code}: {detail}")]
     Coded {
-        /// The code to tell.
+        /// Result code of the error.
         code: ResultCode,
-        /// What happened, in a sentence.
+        /// Description of the error in a sentence.
         detail: String,
     },
 }
 
-/// A result with this library's error.
+/// A result with this library's error type.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// The code that stands for the error.
+    /// Returns the result code of the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::Settings(_) => ResultCode::BadSettings,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Whether a connection was refused.
+    /// Returns whether the error is a refused connection.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, Self::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// The exit status of a program that ends with the error.
+    /// Returns the exit status of a program that terminates with this error.
     pub fn exit_status(&self) -> u8 {
         match self {
             Self::Settings(_) => 2,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Writes the error for a person, a line for each fault.
+    /// Writes the error in readable form, with one line for each invalid setting.
     pub fn print(&self, out: &mut impl Write) -> io::Result<()> {
         match self {
             Self::Settings(faults) => faults.iter().try_for_each(|f| writeln!(out, "{f}")),
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,20 +1,20 @@
-//! Names and numbers that identify things, each a type of its own.
+//! Identifiers, each with its own type.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The longest name that an id may have, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 96;
 
-/// Why a text is not an id.
+/// A text that could not be parsed as an identifier or a value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("expected {expected}, got {got:?}")]
 pub struct IdError {
-    /// What a valid text looks like.
+    /// Description of a valid text.
     pub expected: &'static str,
-    /// The text as it was given, cut to a readable length.
+    /// The invalid text. `IdError::new` truncates it to `MAX_NAME` characters.
     pub got: String,
 }
 
@@ -35,7 +35,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -81,51 +81,52 @@
 }
 
 name_id!(
-    /// An entry VM, and the router that runs on it.
+    /// Name of a VM of the router fleet, and of the router that runs on it.
     VmId
 );
 name_id!(
-    /// A data hall.
+    /// Name of a data hall, which is a zone.
     DataHall
 );
 name_id!(
-    /// A region: data halls that are near one another.
+    /// Name of a region, which is a group of nearby data halls.
     Region
 );
 name_id!(
-    /// A client account.
+    /// Id of a client account, which is a customer or tenant.
     ClientAccountId
 );
 name_id!(
-    /// What a model engine or a plain service's runner calls itself, also after a restart.
+    /// Name of a target (a model engine or a plain service's runner), which it keeps across restarts.
     TargetName
 );
 name_id!(
-    /// A model, with its adapter and version where it has them.
+    /// Name of a model, including its adapter and version if it has them.
     ModelName
 );
 name_id!(
-    /// A plain service.
+    /// Name of a plain service or of a pool of targets.
     ServiceName
 );
 name_id!(
-    /// One accepted or proposed change of configuration.
+    /// Id of an accepted or proposed change of the configuration.
     ChangeId
 );
 
-/// One life of a target: its name and, where it says so, when that life began. A target that starts
-/// again under its name holds nothing of its former life, so nothing known of that one applies to it.
+/// One start of a target: its name and, if the target reports it, its start time.
 ///
-/// As text the name alone, or `NAME~BIRTH`.
+/// A target that restarts under the same name loses all its state, so nothing known about the previous
+/// start applies to the new one. The text form is the name alone, or `NAME~START` with the start time in
+/// milliseconds since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TargetId(std::sync::Arc<str>);
 
-/// Stands between a target's name and its birth; no name has it.
+/// Separates a target's name and its start time; names can't contain it.
 const BIRTH_MARK: char = '~';
 
 impl TargetId {
-    /// The life of a target that began at `birth`; `None` where the target does not say.
+    /// Creates the id of a target that started at `birth`; `None` if the target does not report it.
     pub fn new(name: &TargetName, birth: Option<UnixMillis>) -> Self {
         match birth {
             Some(birth) => Self(format!("{name}{BIRTH_MARK}{birth}").into()),
@@ -133,18 +134,18 @@
         }
     }
 
-    /// Name and birth as text.
+    /// Returns the text form of the id.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The target's name, which its next life may have as well.
+    /// Returns the target's name, which stays the same after a restart.
     pub fn name(&self) -> &str {
         let split = self.0.split_once(BIRTH_MARK);
         split.map_or(&self.0, |(name, _birth)| name)
     }
 
-    /// The same as a name of its own.
+    /// Returns the target's name as a `TargetName`.
     pub fn to_name(&self) -> TargetName {
         TargetName(self.name().into())
     }
@@ -211,43 +212,43 @@
 pub(crate) use number_id;
 
 number_id!(
-    /// The place of a change in the one order of accepted changes; 0 is the empty configuration.
+    /// Position of a change in the log of accepted changes; 0 is the empty configuration.
     Revision
 );
 number_id!(
-    /// Which start of a router this is; larger is later.
+    /// Incarnation number of a router; later starts have larger numbers.
     Incarnation
 );
 number_id!(
-    /// A moment of the time of day, in milliseconds since the Unix epoch.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     UnixMillis
 );
 number_id!(
-    /// What makes two requests part of the same chat, as a hash.
+    /// Hash that is equal for all requests of the same chat.
     ConversationKey
 );
 
 impl ConversationKey {
-    /// The same chat's key within an account: what callers of two accounts name alike is kept
-    /// apart.
+    /// Returns the key within an account, so that equal keys of two accounts remain distinct.
     pub fn within(self, account: &ClientAccountId) -> Self {
         Self(xxh3_64_with_seed(account.as_str().as_bytes(), self.0))
     }
 }
 
 impl ServiceName {
-    /// The pool of the targets that serve a model or a plain service, which may share a name.
+    /// Returns the name of a pool of targets. The kind distinguishes a model from a plain service of
+    /// the same name.
     pub(crate) fn of_pool(kind: &str, name: &str) -> Self {
         Self(format!("{kind}:{name}").into())
     }
 }
 
-/// One request of one caller, unique over the fleet.
+/// Id of a caller's request, unique in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// A fresh id.
+    /// Creates a random id.
     pub fn random() -> Self {
         Self(rand::random())
     }
@@ -270,7 +271,7 @@
     }
 }
 
-/// A request id as text, for serde.
+/// Serializes a request id as text, for `serde(with)`.
 pub(crate) mod request_text {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
@@ -285,12 +286,12 @@
     }
 }
 
-/// One try of a request at one target; an answer is delivered only to its own attempt.
+/// Id of one attempt to send a request to a target. A response is delivered only to its own attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request that is tried.
+    /// The request.
     pub request: RequestId,
-    /// Which try this is, from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
 }
 
--- a/src/intent.rs
+++ b/src/intent.rs
@@ -1,4 +1,4 @@
-//! Intents of operators: from a statement to a plan, from a confirmed plan to a change.
+//! Turns an operator's intent into a plan, and a confirmed plan into a change.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,54 +8,55 @@
     result_code::ResultCode,
 };
 
-/// Edits that one intent may have.
+/// Maximum number of edits in one intent.
 pub const EDIT_LIMIT: usize = 2_000;
 
-/// What an operator wants.
+/// A change of the configuration that an operator requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
-    /// Why.
+    /// The operator's reason, as free text.
     pub reason: String,
-    /// What is to change, in order.
+    /// Requested edits, in order.
     pub edits: Vec<Edit>,
 }
 
-/// What confirming an intent would do. It holds all that is needed, so that any router can
-/// take the confirmation.
+/// The change that confirming an intent would make.
+///
+/// It is self-contained, so that any router can accept the confirmation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The id that the change will have.
+    /// Id of the change to be made.
     pub id: ChangeId,
-    /// The configuration that the plan was made on.
+    /// Revision of the configuration on which the plan is based.
     pub base: Revision,
-    /// The digest of that configuration's history.
+    /// Digest of the history up to that revision.
     pub base_digest: Digest,
-    /// The operator.
+    /// Name of the operator.
     pub author: String,
-    /// Why.
+    /// The operator's reason, as free text.
     pub reason: String,
-    /// What is to change.
+    /// Edits, in order.
     pub edits: Vec<Edit>,
-    /// The same, a sentence each.
+    /// Description of each edit in a sentence.
     pub effects: Vec<String>,
-    /// What an operator might not have meant.
+    /// Effects that the operator may not have intended.
     pub warnings: Vec<String>,
 }
 
-/// Why an intent is not carried out.
+/// Why an intent or a plan was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {detail}")]
 pub struct IntentError {
-    /// The code to tell.
+    /// Result code of the response.
     pub code: ResultCode,
-    /// What is wrong, with the path to the field or the change that came between.
+    /// Description of the error, with the path of the field or the conflicting change.
     pub detail: String,
 }
 
 impl IntentError {
-    /// An error with this code.
+    /// Creates an error with a result code.
     pub fn new(code: ResultCode, detail: impl Into<String>) -> Self {
         Self {
             code,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Reads an intent strictly; an error names the place in the text.
+/// Parses an intent from JSON and rejects unknown fields. An error names the position in the text.
 pub fn read(text: &[u8]) -> Result<Intent, IntentError> {
     let bad = |e: serde_json::Error| IntentError::new(ResultCode::BadIntent, e.to_string());
     let intent: Intent = serde_json::from_slice(text).map_err(bad)?;
@@ -72,12 +73,12 @@
         1..=EDIT_LIMIT => Ok(intent),
         n => Err(IntentError::new(
             ResultCode::BadIntent,
-            format!("edits: {n} of them"),
+            format!("edits: got {n}, expected 1 to {EDIT_LIMIT}"),
         )),
     }
 }
 
-/// Works out what an intent would do; `nonce` tells apart two plans of the same words.
+/// Computes the plan of an intent. The nonce gives two plans with equal content different ids.
 pub fn plan(
     log: &ConfigLog,
     author: &str,
@@ -103,15 +104,15 @@
     Ok(plan)
 }
 
-/// The change that a plan makes on the configuration in force now.
+/// Computes the change that a plan makes to the current configuration.
 ///
-/// What came between is no hindrance as long as it touched other things.
+/// Changes accepted since the plan was made are no conflict as long as they edit other objects.
 pub fn change(log: &ConfigLog, plan: &Plan) -> Result<Change, IntentError> {
     let between = match log.update_since(plan.base, plan.base_digest) {
         Update::Current => Vec::new(),
         Update::Changes(changes) => changes,
         Update::Whole(_) => {
-            let detail = "the plan was made on a configuration that is too old";
+            let detail = "the plan is based on a configuration that is too old";
             return Err(IntentError::new(ResultCode::PlanOutdated, detail));
         }
     };
@@ -160,7 +161,7 @@
 }
 
 fn internal() -> IntentError {
-    IntentError::new(ResultCode::Internal, "an id could not be made")
+    IntentError::new(ResultCode::Internal, "cannot generate a change id")
 }
 
 fn effect(config: &FleetConfig, edit: &Edit) -> String {
@@ -177,7 +178,7 @@
         Edit::PutTarget { id, target } if target.intent == TargetIntent::Leave => {
             let _ = id;
             format!(
-                "{subject} leaves {}: no new work, its chats move",
+                "{subject} leaves {}: no new requests, its chats move to other targets",
                 target.serves
             )
         }
@@ -198,7 +199,7 @@
     for pool in pools {
         let (was, is) = (before.serving(pool).count(), after.serving(pool).count());
         match is {
-            0 if was > 0 => warnings.push(format!("nothing serves {pool} any more")),
+            0 if was > 0 => warnings.push(format!("no target serves {pool} any more")),
             n if n * 2 < was => warnings.push(format!("{pool} falls from {was} targets to {n}")),
             _ => {}
         }
--- a/src/result_code.rs
+++ b/src/result_code.rs
@@ -1,13 +1,13 @@
-//! Numbered result codes: what a caller or an operator is told, in one table.
+//! Table of the numbered result codes that callers and operators receive.
 
 use std::fmt;
 
-/// Whether the target ran a request that ended with a code.
+/// Whether the target ran a request that ended with a result code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ran {
-    /// It did not run, for certain.
+    /// It did certainly not run.
     No,
-    /// It ran, wholly or in part.
+    /// It ran, completely or in part.
     Yes,
     /// It may have run.
     Unknown,
@@ -25,7 +25,7 @@
 
 macro_rules! result_codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $status:literal, $ran:ident, $text:literal;)*) => {
-        /// The outcome of a request, a setting or an operator's call.
+        /// Outcome of a caller's request, of reading the settings or of an operator's request.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[non_exhaustive]
         pub enum ResultCode {
@@ -33,30 +33,30 @@
         }
 
         impl ResultCode {
-            /// All codes, in the order of their numbers.
+            /// All codes, in the order of the table.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
 
-            /// The code's number, as sent in `x-scaleford-code`.
+            /// Returns the code's number, which is sent in the header `x-scaleford-code`.
             pub fn number(self) -> u16 {
                 self as u16
             }
 
-            /// The code's name.
+            /// Returns the code's name.
             pub fn name(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
 
-            /// The HTTP status that goes with the code.
+            /// Returns the HTTP status of responses with the code.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// Whether a request that ended with the code ran.
+            /// Returns whether a request that ended with the code ran.
             pub fn ran(self) -> Ran {
                 match self { $(Self::$name => Ran::$ran,)* }
             }
 
-            /// The code with this number.
+            /// Returns the code with this number.
             pub fn from_number(n: i64) -> Option<Self> {
                 Self::ALL.iter().copied().find(|c| i64::from(c.number()) == n)
             }
@@ -67,7 +67,7 @@
 result_codes! {
     /// Settings are missing or out of range.
     BadSettings = 1001, 500, No, "bad_settings";
-    /// An address could not be listened on.
+    /// Listening on an address failed.
     CannotListen = 1002, 500, No, "cannot_listen";
     /// The body is not JSON, or not of the expected shape.
     BadJson = 2001, 400, No, "bad_json";
@@ -77,65 +77,65 @@
     UnknownModel = 2003, 404, No, "unknown_model";
     /// No accepted configuration has the service or the path.
     UnknownService = 2004, 404, No, "unknown_service";
-    /// The path or the method is not one of ours.
+    /// The router does not serve the path or the method.
     UnknownPath = 2005, 404, No, "unknown_path";
-    /// No bearer key, or one that no account has.
+    /// The request has no bearer key, or one that belongs to no account.
     WrongKey = 2006, 401, No, "wrong_key";
-    /// The body is above the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge = 2007, 413, No, "body_too_large";
     /// The body did not arrive in time.
     SlowSender = 2008, 408, No, "slow_sender";
-    /// An unrepeatable call came without an `Idempotency-Key`.
+    /// An unrepeatable request has no `Idempotency-Key`.
     MissingIdempotencyKey = 2010, 400, No, "missing_idempotency_key";
     /// The account's rate or concurrency limit is reached.
     AccountLimit = 3001, 429, No, "account_limit";
-    /// The router has as many requests in progress as it may.
+    /// The router's limit of concurrent requests is reached.
     RouterFull = 3002, 503, No, "router_full";
-    /// Every target of the pool is at its bound.
+    /// Every target of the pool is at its load limit.
     Overloaded = 3003, 503, No, "overloaded";
     /// The router has no configuration yet.
     NoConfig = 3008, 503, No, "no_config";
-    /// What the router knows of the configuration is too old to trust a key by it.
+    /// The router's configuration was confirmed too long ago to accept keys.
     ConfigTooOld = 3009, 503, No, "config_too_old";
-    /// Targets ended under the request; it is held back from others.
+    /// Targets crashed while they ran the request, which is quarantined to protect the other targets.
     HeldBack = 3010, 503, No, "held_back";
-    /// The router is stopping and takes no new work.
+    /// The router is stopping and accepts no new requests.
     Draining = 3005, 503, No, "draining";
     /// No target that serves this can be reached.
     NoTarget = 4001, 503, No, "no_target";
-    /// The target refused the request and said that it did not run.
+    /// The target rejected the request and reported that it did not run.
     TargetRefused = 4002, 503, No, "target_refused";
-    /// The target's connection ended before an answer; it may have run.
+    /// The connection to the target closed before a response; the request may have run.
     OutcomeUnknown = 4003, 502, Unknown, "outcome_unknown";
-    /// The answer began and was cut off.
+    /// The response started and was interrupted.
     Incomplete = 4004, 502, Yes, "incomplete";
     /// The deadline passed after the request was sent.
     TargetTimeout = 4005, 504, Unknown, "target_timeout";
-    /// The caller left; the target was told to stop.
+    /// The caller disconnected, and the target was asked to cancel the request.
     CallerGone = 4006, 499, Unknown, "caller_gone";
-    /// The claim of an unrepeatable call could not be kept, so it was not sent.
+    /// The claim of an unrepeatable request could not be stored, so the request was not sent.
     ClaimStoreDown = 5001, 503, No, "claim_store_down";
-    /// The same call is still running.
+    /// The same request is still running.
     StillRunning = 5002, 409, Unknown, "still_running";
-    /// The same call ran before; its outcome is told, it is not run again.
+    /// The same request ran before; its outcome is returned, and it is not run again.
     AlreadyRan = 5003, 409, Yes, "already_ran";
-    /// The same call was sent before and its outcome is not known.
+    /// The same request was sent before, and its outcome is unknown.
     EarlierUnknown = 5004, 409, Unknown, "earlier_unknown";
     /// An operator's token is missing or wrong.
     WrongToken = 6001, 401, No, "wrong_token";
     /// An intent is not valid; the detail names the field.
     BadIntent = 6002, 400, No, "bad_intent";
-    /// The configuration changed under a plan in a way that matters.
+    /// The configuration changed after the plan was made in a way that conflicts with it.
     PlanOutdated = 6003, 409, No, "plan_outdated";
-    /// Whether the change was accepted is not known yet.
+    /// It is not yet known whether the change was accepted.
     ChangeUnknown = 6004, 202, Unknown, "change_unknown";
     /// The platform's key-value service does not answer; nothing was changed.
     StoreDown = 6005, 503, No, "store_down";
-    /// There is no such plan, change or request.
+    /// The plan, change or request does not exist.
     NotFound = 6006, 404, No, "not_found";
-    /// The store holds an older or other history than this router has in force.
+    /// The store holds an older or a different history than the one in force at this router.
     StoreReverted = 6007, 500, No, "store_reverted";
-    /// Something that should not happen did.
+    /// An internal error occurred.
     Internal = 9001, 500, Unknown, "internal";
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -17,14 +17,14 @@
     units::{ByteCount, LoadBound},
 };
 
-/// A fault of one setting, with all that is needed to mend it.
+/// An invalid or missing setting, with the details needed to correct it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The setting, by the names under which it may be given.
+    /// Flag and environment variable of the setting.
     pub setting: String,
-    /// The value as it was given, quoted, if any; a secret one is masked.
+    /// Quoted value that was given, with secrets masked; `None` if none was given.
     pub seen: Option<String>,
-    /// What is expected.
+    /// Description of a valid value.
     pub expected: String,
 }
 
@@ -45,25 +45,25 @@
     }
 }
 
-/// One setting as it was read: where from, what it says.
+/// Supplies the text values of settings.
 pub trait Source {
-    /// The value of the setting with this flag name, a flag going before a variable.
+    /// Returns the value of the setting `name`. A flag takes precedence over an environment variable.
     fn value(&self, name: &str) -> Option<String>;
 }
 
 macro_rules! settings {
     ($($(#[$doc:meta])* $field:ident: $type:ty = $default:expr, $secret:literal, $expected:literal;)*) => {
-        /// Everything that a router is told from outside; resolved once, passed by reference.
+        /// All settings of a router, resolved once at start and passed by reference.
         #[derive(Debug, Clone)]
         pub struct Settings {
             $($(#[$doc])* pub $field: $type,)*
         }
 
         impl Settings {
-            /// The names of all settings, as flags without their dashes.
+            /// Names of all settings, with underscores; `flag_name` returns the flags.
             pub const NAMES: &'static [&'static str] = &[$(stringify!($field)),*];
 
-            /// Reads and checks all settings, and reports every fault at once.
+            /// Reads and checks all settings, and reports all invalid ones at once.
             pub fn resolve(source: &dyn Source) -> Result<Self> {
                 let mut faults = Vec::new();
                 $(let $field: Option<$type> = take(
@@ -75,7 +75,7 @@
                 }
             }
 
-            /// The settings in force, one a line, secrets masked.
+            /// Returns the resolved settings as lines of `FLAG=VALUE`, with secrets masked.
             pub fn lines(&self) -> Vec<String> {
                 vec![$(format!("{}={}", flag_name(stringify!($field)), self.$field)),*]
             }
@@ -84,72 +84,74 @@
 }
 
 settings! {
-    /// The name of this VM.
+    /// Name of this VM.
     vm: VmId = None, false, "the name of this VM";
-    /// The region that this VM stands in.
+    /// Region of this VM.
     region: Region = Some("region-1"), false, "a region's name";
-    /// The data hall that this VM stands in.
+    /// Data hall of this VM.
     data_hall: DataHall = Some("hall-1"), false, "a data hall's name";
-    /// Where callers connect.
+    /// Address on which the router accepts callers.
     listen: SocketAddr = None, false, "IP:PORT";
-    /// Where peers connect, over TCP and UDP.
+    /// Address on which the router accepts peers, over TCP and UDP.
     peer_listen: SocketAddr = None, false, "IP:PORT";
-    /// Where operators connect.
+    /// Address on which the router accepts operators.
     operator_listen: SocketAddr = None, false, "IP:PORT";
-    /// Whether to listen beyond loopback without TLS.
+    /// Whether listening without TLS on other addresses than loopback is allowed.
     allow_plain: bool = Some("false"), false, "true or false";
-    /// The platform's metadata store.
+    /// Address of the platform's metadata store.
     platform: SocketAddr = None, false, "IP:PORT";
-    /// Where some other routers listen for peers; where empty, they are found through the store.
+    /// Peer addresses of some other routers; if empty, routers are discovered through the store.
     peers: List<SocketAddr> = Some(""), false, "IP:PORT, separated by commas";
-    /// The tokens that operators show, each with the operator's name.
+    /// Tokens by which operators authenticate, each with the operator's name.
     operator_tokens: List<OperatorToken> = None, true, "NAME:TOKEN, separated by commas, TOKEN of 8 characters or more";
-    /// How soon a key that was taken away must be refused by every router, also while the store is away.
+    /// Maximum time until every router refuses a revoked key, also while the store is unreachable.
     revoke_bound: RevokeBound = Some("none"), false, "none, or milliseconds from 1000";
-    /// How far above its pool's mean a target may be loaded.
+    /// Maximum load of a target, as a multiple of its pool's mean.
     load_bound: LoadBound = Some("2"), false, "a factor from 1.01 to 10";
-    /// The largest body that a caller may send.
-    body_limit: ByteCount = Some("4m"), false, "bytes, with k or m behind";
-    /// The largest head of a request that a caller may send.
-    header_limit: ByteCount = Some("64k"), false, "bytes from 8192, with k or m behind";
-    /// How long a caller may take to send its head.
+    /// Maximum size of a request body.
+    body_limit: ByteCount = Some("4m"), false, "bytes, optionally with the suffix k or m";
+    /// Maximum size of a request head.
+    header_limit: ByteCount = Some("64k"), false, "bytes from 8192, optionally with the suffix k or m";
+    /// Maximum time to receive a request head.
     header_timeout_ms: Millis = Some("10000"), false, "milliseconds";
-    /// How long a caller may take to send its body.
+    /// Maximum time to receive a request body.
     body_timeout_ms: Millis = Some("30000"), false, "milliseconds";
-    /// How long a target may be silent while it answers.
+    /// Maximum pause of a target within a response.
     idle_timeout_ms: Millis = Some("60000"), false, "milliseconds";
-    /// How long a chat may take.
+    /// Maximum duration of a chat request.
     request_timeout_ms: Millis = Some("300000"), false, "milliseconds";
-    /// How many requests this router takes at once.
+    /// Maximum number of concurrent requests of this router.
     concurrency_limit: usize = Some("20000"), false, "a whole number";
-    /// How long a planned stop waits for the balancer to turn away.
+    /// Time that a planned stop waits for the load balancer to stop sending requests.
     drain_wait_ms: Millis = Some("5000"), false, "milliseconds";
-    /// How long a planned stop waits for requests in progress.
+    /// Maximum time that a planned stop waits for requests in progress.
     drain_limit_ms: Millis = Some("600000"), false, "milliseconds";
-    /// Where counters and histograms are read; nowhere where empty.
+    /// Address on which metrics are served; none are served if it is empty.
     metrics_listen: List<SocketAddr> = Some(""), false, "IP:PORT or nothing";
-    /// The OTLP endpoint for spans; none are sent where empty.
+    /// OTLP endpoint to which spans are exported; none are exported if it is empty.
     otlp: OtlpEndpoint = Some(""), false, "http://IP:PORT/v1/traces or nothing";
-    /// The lowest level that is logged.
+    /// Minimum level of logged messages.
     log_level: LogLevel = Some("info"), false, "trace, debug, info, warning, error or critical";
 }
 
-/// Decisions that a router keeps for `explain`: those of some thousand calls, a few megabytes.
+/// Number of decisions that a router keeps for `explain`: those of several thousand requests, a few
+/// megabytes.
 const EXPLAIN_KEPT: usize = 16_384;
 
-/// The fleet's budget of repeats: a fifth of the calls of ten seconds, and some beyond, as on the
-/// users' sites.
+/// The fleet's retry budget, as on the users' sites: a fifth of the requests of the last ten seconds, plus
+/// a constant.
 const BUDGET: BudgetRule = BudgetRule {
     ratio: 0.2,
     window: Duration::from_secs(10),
     extra: 50.0,
 };
 
-/// What a VM is taken to bear, so that all routers of a fleet count as alike.
+/// Assumed link in Mbit/s and share of a CPU core of each VM. All routers of a fleet use the same values, so
+/// that all count as equally strong.
 const STRENGTH: (f64, f64) = (1_000.0, 1.0);
 
 impl Settings {
-    /// What a gateway is told, for the product's own interface.
+    /// Returns the configuration of a gateway that serves the product's own operator interface.
     pub fn gateway(&self) -> GatewayConfig {
         let drain = self.drain_wait_ms.duration() + self.drain_limit_ms.duration();
         GatewayConfig {
@@ -195,18 +197,18 @@
     }
 }
 
-/// The flag of a setting.
+/// Returns the command-line flag of a setting.
 pub fn flag_name(name: &str) -> String {
     format!("--{}", name.replace('_', "-"))
 }
 
-/// The environment variable of a setting.
+/// Returns the environment variable of a setting.
 pub fn variable_name(name: &str) -> String {
     format!("SCALEFORD_{}", name.to_uppercase())
 }
 
 impl Settings {
-    /// Checks what no single setting shows.
+    /// Checks constraints that are not part of a single value's syntax.
     pub fn check(self) -> Result<Self> {
         let listens = [
             ("listen", self.listen),
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -1,13 +1,13 @@
-//! Values of single settings, each with its text form.
+//! Types of setting values, with parsing and formatting.
 
 use std::{fmt, str::FromStr, time::Duration};
 
-/// A value that must not be shown.
+/// A secret value, which is masked in all output.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
 impl Secret {
-    /// The value itself.
+    /// Returns the secret itself.
     pub fn reveal(&self) -> &str {
         &self.0
     }
@@ -39,9 +39,9 @@
 /// An operator's name and token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorToken {
-    /// The name that changes are recorded under.
+    /// Name under which the operator's changes are recorded.
     pub name: String,
-    /// The token.
+    /// Token that authenticates the operator.
     pub token: Secret,
 }
 
@@ -86,12 +86,12 @@
     }
 }
 
-/// A time in milliseconds.
+/// A duration in milliseconds, at most one day when parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The time as a duration.
+    /// Converts it to a `Duration`.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -103,7 +103,7 @@
     fn from_str(s: &str) -> Result<Self, String> {
         match s.parse() {
             Ok(ms @ 0..=86_400_000) => Ok(Self(ms)),
-            _ => Err("expected milliseconds, at most a day".to_owned()),
+            _ => Err("expected milliseconds, at most one day".to_owned()),
         }
     }
 }
@@ -114,13 +114,15 @@
     }
 }
 
-/// How soon a key that was taken away must be refused by every router. With a bound, routers refuse
-/// all keys while their configuration is too old to tell; without one, a key is relied on as long as
-/// the configuration holds it.
+/// Maximum time until every router refuses a revoked key.
+///
+/// With a bound, routers refuse all keys while their configuration is too old to exclude a revocation.
+/// Without one, a key is accepted as long as the configuration contains it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RevokeBound(pub Option<Millis>);
 
-/// The shortest bound that routers can keep: a configuration's proof is up to 0.6 s old in calm.
+/// Minimum revocation bound in milliseconds: the last confirmation of the configuration is up to 0.6 s old
+/// even without any failure.
 const SHORTEST_REVOKE_MS: u64 = 1_000;
 
 impl FromStr for RevokeBound {
@@ -146,7 +148,7 @@
     }
 }
 
-/// An OTLP endpoint, or none.
+/// URL of an OTLP endpoint, or none.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OtlpEndpoint(pub Option<String>);
 
@@ -157,7 +159,7 @@
         match s {
             "" => Ok(Self(None)),
             _ if s.starts_with("http://") => Ok(Self(Some(s.to_owned()))),
-            _ => Err("expected http://".to_owned()),
+            _ => Err("expected a URL that begins with http://".to_owned()),
         }
     }
 }
@@ -168,7 +170,7 @@
     }
 }
 
-/// The lowest level that is logged.
+/// Minimum level of logged messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLevel(pub slog::Level);
 
@@ -182,7 +184,7 @@
     type Err = String;
 
     fn from_str(s: &str) -> Result<Self, String> {
-        s.parse().map(Self).map_err(|()| "no such level".to_owned())
+        s.parse().map(Self).map_err(|()| "unknown level".to_owned())
     }
 }
 
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -1,4 +1,4 @@
-//! What the store held, kept so that peers need not ask the store.
+//! A copy of the store's entries from which a router serves its peers, so that they need not read the store.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,30 @@
 use super::{StoreItem, StoreNews, own::PROMPTS_KEY};
 use crate::units::StoreRevision;
 
-/// Removed keys that a mirror remembers for peers that lag behind, beside as many as it ever held: all may lapse and be
-/// listed anew at once, and a peer that asks for older ones than these is sent all entries.
+/// Number of removed keys that a mirror keeps for peers that lag behind, in addition to the largest number of
+/// entries that it has held, because all entries may expire and be listed again at once. A peer that lags
+/// behind the oldest kept removal receives the complete list.
 const REMOVED_KEPT: usize = 1_024;
 
-/// Lists that were taken after others, of which is remembered what they left open.
+/// Maximum number of gaps between successive lists that a mirror keeps.
 const GAPS_KEPT: usize = 16;
 
-/// What the store held at one revision, and what was removed before.
+/// The store's entries at one revision, and the keys that were removed before.
 #[derive(Debug, Default)]
 pub struct StoreMirror {
     items: BTreeMap<String, StoreItem>,
     removed: BTreeMap<String, StoreRevision>,
-    /// Removals up to this one are not all remembered.
+    /// All removals after this revision are known, except within gaps; some up to it may have been
+    /// dropped.
     oldest: StoreRevision,
-    /// From one list to the next entries may have come and gone that the mirror never had.
+    /// Ranges between successive lists, within which entries may have been written and removed unseen.
     gaps: Vec<Gap>,
     revision: StoreRevision,
-    /// The most entries that it held at once.
+    /// Largest number of entries that it has held at once.
     most: usize,
 }
 
-/// Revisions of which only what was left at the end is known.
+/// A range of revisions of which only the state at the end is known.
 #[derive(Debug)]
 struct Gap {
     from: StoreRevision,
@@ -36,32 +38,32 @@
 }
 
 impl Gap {
-    /// Whether a peer at a revision may hold an entry that the mirror never had.
+    /// Returns whether a peer at `revision` may hold an entry that the mirror never saw.
     fn is_around(&self, revision: StoreRevision) -> bool {
         self.from < revision && revision < self.to
     }
 }
 
 impl StoreMirror {
-    /// The revision up to which the mirror is complete; 0 before the first list.
+    /// Returns the revision up to which the mirror is complete; 0 before the first list.
     pub fn revision(&self) -> StoreRevision {
         self.revision
     }
 
-    /// The last of the keys that begin with a prefix.
+    /// Returns the last key that begins with a prefix.
     pub fn last_key(&self, prefix: &str) -> Option<&str> {
         let below = self.items.range(prefix.to_owned()..);
         let below = below.map(|(key, _)| key.as_str());
         below.take_while(|key| key.starts_with(prefix)).last()
     }
 
-    /// Takes a whole list in place of what was there; one older than the mirror is passed over.
+    /// Replaces all entries by a complete list. A list that is older than the mirror is ignored.
     pub fn on_list(&mut self, news: &StoreNews) {
         if news.revision < self.revision {
             return;
         }
         if news.revision.era != self.revision.era {
-            // What was removed in another era says nothing of this one.
+            // Removals of another era do not apply to this one.
             self.clear();
         }
         let by_key = |item: &StoreItem| (item.key.clone(), item.clone());
@@ -81,7 +83,7 @@
         self.revision = news.revision;
     }
 
-    /// Forgets everything: the store was set back to an older state.
+    /// Removes everything, after the store was rolled back to an older state.
     pub fn clear(&mut self) {
         *self = Self {
             most: self.most,
@@ -89,7 +91,7 @@
         };
     }
 
-    /// All that the store held.
+    /// Returns all entries.
     pub fn list(&self) -> StoreNews {
         StoreNews {
             items: self.items.values().cloned().collect(),
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Takes changes that follow the mirror's revision.
+    /// Applies changes that follow the mirror's revision.
     pub fn on_changes(&mut self, news: &StoreNews) {
         for item in &news.items {
             let before = self.items.get(&item.key).map(|b| b.revision);
@@ -120,7 +122,7 @@
         self.revision = self.revision.max(news.revision);
     }
 
-    /// What a peer at a revision lacks; `None` if the mirror has no newer revision.
+    /// Returns what a peer at a revision is missing, or `None` if the mirror has no newer revision.
     pub fn since(&self, after: StoreRevision) -> Option<Mirrored> {
         let revision = self.revision;
         match after {
@@ -135,14 +137,14 @@
         }
     }
 
-    /// Whether all removals since a revision are remembered.
+    /// Returns whether all removals since a revision are known.
     fn knows_removals(&self, after: StoreRevision) -> bool {
         after >= self.oldest && !self.gaps.iter().any(|gap| gap.is_around(after))
     }
 
-    /// The last change of each key since a revision, in order.
+    /// Returns the last change of each key since a revision, in order of revisions.
     fn newer(&self, after: StoreRevision) -> Vec<StoreItem> {
-        // Saved prompts are for routers that start; the others hear of each prompt by datagram.
+        // Only starting routers need the saved prompts; running ones receive each prompt by datagram.
         let is_newer = |item: &&StoreItem| item.revision > after && item.key != PROMPTS_KEY;
         let put = self.items.values().filter(is_newer).cloned();
         let removed = self.removed.iter().filter(|(_, at)| **at > after);
@@ -181,13 +183,13 @@
     }
 }
 
-/// What one router tells another of the store.
+/// A router's response to a peer that asks for the store's changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mirrored {
-    /// What changed.
+    /// The changes since the peer's revision.
     Changes(StoreNews),
-    /// Everything, as the changes are no longer known.
+    /// All entries, because the changes since the peer's revision are no longer known.
     List(StoreNews),
-    /// Nothing is newer.
+    /// No newer revision.
     Nothing,
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's metadata store as the gateway uses it.
+//! Interface to the platform's metadata store.
 
 mod mirror;
 pub mod own;
@@ -16,59 +16,61 @@
     units::StoreRevision,
 };
 
-/// Why a call to the store did not succeed.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Not reached, no answer in time, or a connection that broke: the call may have been done.
+    /// The store was unreachable, timed out or closed the connection. The call may have taken effect.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// The store turned the call away; nothing was done.
-    #[error("turned away with status {0}")]
+    /// The store rejected the call, which had no effect.
+    #[error("rejected with status {0}")]
     TurnedAway(u16),
-    /// The revision to go on from is no longer in the store's history.
-    #[error("history is gone")]
+    /// The revision after which changes were requested is no longer in the store's history.
+    #[error("the requested revision is no longer in the store's history")]
     HistoryGone,
-    /// The store came back from an older copy between what the call builds on and its answer.
-    #[error("the store was set back meanwhile")]
+    /// The store was rolled back to an older copy between the read that the call builds on and the response.
+    #[error("the store was rolled back during the call")]
     SetBack,
-    /// The answer is not understood.
-    #[error("not understood: {0}")]
+    /// The response could not be decoded.
+    #[error("invalid response: {0}")]
     Garbled(String),
 }
 
-/// One entry as it was written, or its end. What it means only the adapter knows.
+/// One entry of the store as it was written, or its removal. Only the adapter interprets the value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreItem {
     /// The key.
     pub key: String,
-    /// What was written; `None` where the entry was removed.
+    /// The written value; `None` if the entry was removed.
     pub value: Option<PackedValue>,
-    /// The write or removal.
+    /// Revision of the write or removal.
     pub revision: StoreRevision,
 }
 
-/// A value as it is kept and passed on between routers: a large one compressed, as a configuration of some
-/// hundred routes is told to many routers at once and some of them have thin links. A small one gains little by that, and to
-/// compress each of thousands takes a thin processor seconds; lists of them are compressed as a whole on their way.
+/// A value as it is stored and sent between routers; large values are compressed.
+///
+/// A configuration of several hundred routes is sent to many routers at once, some of which have slow links.
+/// A small value gains little from compression, and compressing each of thousands takes seconds on a slow
+/// CPU. Lists of small values are compressed as a whole when they are sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PackedValue {
-    /// As it was written.
+    /// The value as it was written.
     Plain(Vec<u8>),
-    /// Compressed.
+    /// The compressed value.
     Packed(Vec<u8>),
 }
 
-/// Bytes from which on a value is compressed.
+/// Minimum size of a compressed value, in bytes.
 const PACKED_FROM: usize = 512;
 
-/// How hard values are compressed, from 0 to 10: a tenth of the size in few milliseconds.
+/// Compression level from 0 to 10. Level 4 reduces a value to a tenth of its size within a few milliseconds.
 const PACK_LEVEL: u8 = 4;
 
-/// The largest value that is unpacked, in bytes; a store's values are a megabyte at the most.
+/// Maximum size of a decompressed value, in bytes. The store's values have at most 1 MB.
 const UNPACK_LIMIT: usize = 16 << 20;
 
 impl PackedValue {
-    /// Compresses a value, if it is large.
+    /// Compresses a value if it is large.
     pub fn pack(value: &[u8]) -> Self {
         match value.len() < PACKED_FROM {
             true => Self::Plain(value.to_vec()),
@@ -76,27 +78,27 @@
         }
     }
 
-    /// A value whose bytes can't be read; it does not unpack.
+    /// Returns a placeholder for a value that could not be read. `unpack` fails for it.
     pub fn unreadable() -> Self {
         Self::Packed(Vec::new())
     }
 
-    /// The value as it was written; the error says what is wrong with the packing.
+    /// Returns the value as it was written, or a description of why it can't be decompressed.
     pub fn unpack(&self) -> Result<Cow<'_, [u8]>, String> {
         let packed = match self {
             Self::Plain(value) => return Ok(Cow::Borrowed(value)),
-            // The inflater never returns from empty input.
+            // The decompressor loops forever on empty input.
             Self::Packed(packed) if packed.is_empty() => {
-                return Err("the value's bytes can't be read".to_owned());
+                return Err("the value's bytes could not be read".to_owned());
             }
             Self::Packed(packed) => packed,
         };
         let unpacked = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, UNPACK_LIMIT);
-        let unpacked = unpacked.map_err(|e| format!("value not unpacked: {e}"))?;
+        let unpacked = unpacked.map_err(|e| format!("value could not be decompressed: {e}"))?;
         Ok(Cow::Owned(unpacked))
     }
 
-    /// Bytes that it takes.
+    /// Returns the size in bytes as stored.
     pub fn packed_len(&self) -> usize {
         match self {
             Self::Plain(bytes) | Self::Packed(bytes) => bytes.len(),
@@ -104,90 +106,90 @@
     }
 }
 
-/// What an entry that others wrote means.
+/// A decoded entry that the platform's other components wrote.
 #[derive(Debug)]
 pub enum StoreChange {
     /// The operators' configuration was written.
     Config(Box<ServingConfig>),
     /// A target wrote its entry.
     Target(TargetRecord),
-    /// A target's entry went.
+    /// A target's entry was removed.
     TargetGone(TargetName),
-    /// An entry of a target was written that names none to use.
+    /// A target's entry was written that does not describe a usable target.
     TargetUnusable {
-        /// Whose entry it is.
+        /// Name of the target.
         name: TargetName,
-        /// What is wrong with it.
+        /// Description of what is wrong with the entry.
         why: String,
     },
-    /// A data hall is evacuated: its targets are to get nothing.
+    /// A data hall is evacuated: its targets receive no requests.
     HallEvacuated(DataHall),
-    /// A data hall is taken back, if it was evacuated.
+    /// A data hall is no longer evacuated.
     HallTakenBack(DataHall),
-    /// Nothing that concerns the gateway.
+    /// An entry without effect on the gateway.
     Other,
 }
 
-/// Everything that the store holds, or what changed in it.
+/// All entries of the store, or its changes since a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreNews {
-    /// The entries, in order.
+    /// The entries, in the order of the list or of the changes.
     pub items: Vec<StoreItem>,
-    /// The revision that they lead to.
+    /// Revision of the store after these entries.
     pub revision: StoreRevision,
 }
 
-/// A call in progress.
+/// The future of a call to the store.
 pub type StoreCall<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + 'a>>;
 
-/// A key's value and the write that made it.
+/// A key's value, with the revision of the write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
     /// The key.
     pub key: String,
     /// The value as it was written.
     pub value: Vec<u8>,
-    /// The write.
+    /// Revision of the write.
     pub revision: StoreRevision,
 }
 
-/// What a compare-and-swap came to.
+/// Result of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Swap {
-    /// The write took effect, as this revision.
+    /// The write took effect at this revision.
     Done(StoreRevision),
-    /// The key was not as expected; nothing was written.
+    /// The key's revision was not the expected one; nothing was written.
     Conflict,
 }
 
-/// The store, as an adapter reaches it.
+/// Access to the metadata store, implemented by an adapter.
 ///
-/// An error of a call that writes leaves open whether it took effect: the caller settles that by
-/// reading, or writes what may be written twice.
+/// If a write fails, it may have taken effect nonetheless. The caller finds out by reading, or makes writes
+/// that can safely be repeated.
 pub trait MetaStore {
-    /// All that concerns the gateway, by consistent reads.
+    /// Returns all entries that the gateway uses, by consistent reads.
     fn list(&self) -> StoreCall<'_, StoreNews>;
-    /// Waits for changes after a revision, at most so long; empty if there are none.
+    /// Waits at most `wait` for changes after a revision; returns no entries if there are none.
     fn watch(&self, after: StoreRevision, wait: Duration) -> StoreCall<'_, StoreNews>;
-    /// What an entry that others wrote means; the error says what is wrong with it.
+    /// Decodes an entry that the platform's other components wrote; the error says what is wrong with it.
     fn decode(&self, item: &StoreItem) -> Result<StoreChange, String>;
-    /// The value of a key, by a consistent read.
+    /// Returns the value of a key, by a consistent read.
     fn get(&self, key: &str) -> StoreCall<'_, Option<StoredValue>>;
-    /// All keys that begin with a prefix, in order, by consistent reads.
+    /// Returns all keys that begin with a prefix, in order, by consistent reads.
     fn range(&self, prefix: &str) -> StoreCall<'_, Vec<StoredValue>>;
-    /// Writes a key if it is still as of `expected`; `None` expects it absent.
+    /// Writes a key if its revision is still `expected`; `None` requires the key to be absent.
     fn swap(
         &self,
         key: &str,
         expected: Option<StoreRevision>,
         value: Vec<u8>,
     ) -> StoreCall<'_, Swap>;
-    /// Writes a key whatever it held before.
+    /// Writes a key unconditionally.
     fn put(&self, key: &str, value: Vec<u8>) -> StoreCall<'_, ()>;
-    /// Writes a key that goes after so long, whatever it held before; a call that is repeated begins anew.
+    /// Writes a key unconditionally and lets it expire after `lasts`. A repeated call restarts the time.
     fn put_for(&self, key: &str, value: Vec<u8>, lasts: Duration) -> StoreCall<'_, ()>;
-    /// Writes a key under a lease of this router's own, or renews the lease; the key goes some
-    /// time after the router does.
+    /// Writes a key under a lease of this router, or renews the lease. The key expires some time after the
+    /// router stops.
     fn keep(&self, key: &str, value: Vec<u8>) -> StoreCall<'_, ()>;
     /// Removes a key.
     fn remove(&self, key: &str) -> StoreCall<'_, ()>;
--- a/src/store/own.rs
+++ b/src/store/own.rs
@@ -1,4 +1,4 @@
-//! What the routers themselves keep in the store, and under which keys.
+//! Entries that the routers themselves write to the store, and their keys.
 
 use std::net::SocketAddr;
 
@@ -11,64 +11,65 @@
     ids::{Revision, VmId},
 };
 
-/// What all keys begin with that the routers write and follow.
+/// Prefix of all keys that the routers write and watch.
 pub const OWN_PREFIX: &str = "scaleford/";
 
-/// Where routers say how peers reach them.
+/// Prefix of the keys under which routers publish their peer addresses.
 const ROUTERS: &str = "scaleford/routers/";
 
-/// Which prompts are read where.
+/// Key of the saved map from cached prompts to targets.
 pub(crate) const PROMPTS_KEY: &str = "scaleford/prompts";
 
-/// The newest whole configuration of the operators' own.
+/// Key of the latest snapshot of the operators' configuration.
 pub(crate) const SNAPSHOT_KEY: &str = "scaleford/config/snapshot";
 
-/// What the keys of accepted changes begin with.
+/// Prefix of the keys of accepted changes.
 pub const CHANGE_PREFIX: &str = "scaleford/config/change/";
 
-/// What the keys of requests that are held back begin with.
+/// Prefix of the keys of quarantined requests.
 const HELD: &str = "scaleford/held/";
 
-/// An entry that some router wrote.
+/// A decoded entry that a router wrote.
 #[derive(Debug)]
 pub(crate) enum OwnEntry {
-    /// Where a router's peers reach it.
+    /// Peer address of a router.
     Router(SocketAddr),
-    /// Which prompts are read where.
+    /// Encoded map from cached prompts to targets.
     Prompts(Vec<u8>),
-    /// A whole configuration.
+    /// A snapshot of the configuration.
     Snapshot(Box<Snapshot>),
     /// An accepted change.
     Change(Box<Change>),
-    /// A request that is held back by all routers.
+    /// A request that all routers quarantine.
     Held(Fingerprint),
-    /// One that no longer is.
+    /// A request that is no longer quarantined.
     HeldGone(Fingerprint),
-    /// One that went, or that a later version writes.
+    /// An entry that was removed, or of a kind that a later version writes.
     Other,
 }
 
-/// Where a router says how peers reach it.
+/// Returns the key under which a router publishes its peer address.
 pub(crate) fn router_key(vm: &VmId) -> String {
     format!("{ROUTERS}{vm}")
 }
 
-/// The key under which a request is held back.
+/// Returns the key under which a request is quarantined.
 pub(crate) fn held_key(request: Fingerprint) -> String {
     format!("{HELD}{request}")
 }
 
-/// The key of a change; keys are in the order of changes.
+/// Returns the key of a change. The keys sort in the order of the changes.
 pub(crate) fn change_key(revision: Revision) -> String {
     format!("{CHANGE_PREFIX}{:012}", revision.0)
 }
 
-/// The change that a key of one is for.
+/// Returns the revision of a change from its key, or `None` for other keys.
 pub(crate) fn change_of(key: &str) -> Option<Revision> {
     key.strip_prefix(CHANGE_PREFIX)?.parse().ok()
 }
 
-/// Decodes an entry of our own; `None` for those of others. The error says what is wrong.
+/// Decodes an entry that a router wrote. Returns `None` for entries of other components; the error says what
+/// is wrong with the entry.
 pub(crate) fn decode(item: &StoreItem) -> Option<Result<OwnEntry, String>> {
     let name = item.key.strip_prefix(OWN_PREFIX)?;
     Some(decode_value(name, item))
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and weights.
+//! Units of time, size, load and priority.
 
 use std::{
     fmt,
@@ -11,24 +11,24 @@
 
 use crate::ids::{IdError, number_id};
 
-/// A monotonic instant, as time since the process (or the replay) began.
+/// A monotonic instant, as the time since the start of the process or the replay.
 ///
-/// Decision types take it as an argument so that they never read a clock.
+/// Types that make decisions receive it as an argument and never read a clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(pub Duration);
 
 impl Instant {
-    /// An instant from whole milliseconds.
+    /// Creates an instant from milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
 
-    /// The time that passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The instant that lies `d` back; zero if that is before the clock began.
+    /// Returns the instant `d` earlier, or the clock's epoch if that would precede it.
     pub fn before(self, d: Duration) -> Self {
         Self(self.0.saturating_sub(d))
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Model tokens that an engine has yet to read, write or hold for a request.
+/// Number of model tokens that an engine has to read, write or store for a request.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -50,7 +50,7 @@
 pub struct Tokens(pub u64);
 
 impl Tokens {
-    /// What is left after taking `other` away; never below zero.
+    /// Subtracts `other`, saturating at zero.
     pub fn less(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
@@ -82,25 +82,27 @@
     }
 }
 
-/// A write of the platform's store. Numbers grow with each write, and are given out again in the next era: a write of a later
-/// era is later, whatever its number. The default is before all writes. Reads `ERA.NUMBER`.
+/// Revision of the platform's store, written as `ERA.NUMBER`.
+///
+/// The number grows with each write and may be reused in the next era, so a write of a later era is later
+/// whatever its number. The default precedes all writes.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreRevision {
-    /// The life of the store; the first field, as order goes by it first.
+    /// Era of the store. It is the first field because the derived order compares it first.
     pub era: StoreEra,
-    /// The store's own number.
+    /// Number that the store assigned to the write.
     pub number: u64,
 }
 
 impl StoreRevision {
-    /// A write of one life of the store.
+    /// Creates the revision of a write in an era.
     pub const fn new(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// A write of a store that never came back from a copy.
+    /// Creates a revision of a store that was never restored from an older copy.
     pub const fn first_era(number: u64) -> Self {
         Self::new(StoreEra(0), number)
     }
@@ -117,7 +119,7 @@
 
     fn from_str(s: &str) -> Result<Self, IdError> {
         let fault = || IdError {
-            expected: "a revision of the store as ERA.NUMBER",
+            expected: "a store revision as ERA.NUMBER",
             got: s.to_owned(),
         };
         let (era, number) = s.split_once('.').ok_or_else(fault)?;
@@ -127,17 +129,17 @@
 }
 
 number_id!(
-    /// The operators' own number of a whole configuration; a later one has a higher number.
+    /// Operators' version number of a complete configuration; later ones have higher numbers.
     ConfigVersion
 );
 
 number_id!(
-    /// A life of the platform's store: it rises by one each time that the store comes back from an older copy. 0 where the store
-    /// does not say.
+    /// Era of the platform's store, which increases by one each time the store is restored from an older
+    /// copy; 0 if the store does not report it.
     StoreEra
 );
 
-/// How urgent a call is, 0 the most.
+/// Urgency of a request as a number; 0 is the most urgent.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -150,16 +152,16 @@
     }
 }
 
-/// The capacity of a target relative to the others of its pool; 100 is the usual one.
+/// Capacity of a target relative to the other targets of its pool; the default is 100.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct Weight(u32);
 
 impl Weight {
-    /// The weight of a target that is like the others.
+    /// Default weight of a target.
     pub const USUAL: Self = Self(100);
 
-    /// The weight as a number.
+    /// Returns the weight as a number.
     pub fn get(self) -> u32 {
         self.0
     }
@@ -191,12 +193,12 @@
     }
 }
 
-/// How far above the weighted mean of its pool an engine may be loaded, as a factor above 1.
+/// Maximum load of a target as a multiple of the weighted mean of its pool; greater than 1.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct LoadBound(f64);
 
 impl LoadBound {
-    /// The bound as a factor.
+    /// Returns the bound as a factor.
     pub fn factor(self) -> f64 {
         self.0
     }
@@ -228,7 +230,7 @@
     }
 }
 
-/// A size in bytes; reads `512`, `64k`, `10m`.
+/// A size in bytes, parsed from text such as `512`, `64k` or `10m`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ByteCount(pub usize);
 
@@ -237,7 +239,7 @@
 
     fn from_str(s: &str) -> Result<Self, IdError> {
         let fault = || IdError {
-            expected: "a number of bytes, with k or m behind it where wanted",
+            expected: "a number of bytes, optionally with the suffix k or m",
             got: s.to_owned(),
         };
         let (digits, unit) = match s.as_bytes().last() {
@@ -256,7 +258,7 @@
     }
 }
 
-/// How urgent a request is; the most urgent first.
+/// Urgency class of a request. The variants are in order, the most urgent first.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -264,10 +266,10 @@
 pub enum Priority {
     /// Bid confirmations and hammer notices.
     Urgent,
-    /// Questions of someone who waits.
+    /// Interactive requests, for which a person waits.
     #[default]
     Live,
-    /// Essays and reports that are waited for calmly.
+    /// Long texts such as essays and reports, for which nobody waits urgently.
     Patient,
 }
 
@@ -275,12 +277,12 @@
     /// All priorities, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Live, Self::Patient];
 
-    /// How urgent that is to an engine.
+    /// Returns the rank by which engines order requests of this priority.
     pub fn rank(self) -> Rank {
         Rank(self as u8)
     }
 
-    /// The priority of a rank; an unknown one is the least urgent.
+    /// Returns the priority of a rank. Unknown ranks map to the least urgent priority.
     pub fn of_rank(rank: Rank) -> Self {
         match rank.0 {
             0 => Self::Urgent,
