--- a/src/clock.rs
+++ b/src/clock.rs
@@ -85,26 +85,26 @@
     /// Wakes sleeping tasks if the VM was suspended since the last call, and returns for how long it was.
     pub fn on_tick(&self) -> Option<Duration> {
         let suspended = self.suspended();
-        let lately = suspended.saturating_sub(self.waiters_know.replace(suspended));
-        if lately < NOTICED {
+        let newly_suspended = suspended.saturating_sub(self.waiters_know.replace(suspended));
+        if newly_suspended < NOTICED {
             return None;
         }
         self.woken.notify_waiters();
-        Some(lately)
+        Some(newly_suspended)
     }
 
     fn suspended(&self) -> Duration {
-        let lately = (self.suspended)().saturating_sub(self.suspended_at_epoch);
-        let longest = self.seen.get().max(lately);
-        self.seen.set(longest);
-        longest
+        let reading = (self.suspended)().saturating_sub(self.suspended_at_epoch);
+        let largest = self.seen.get().max(reading);
+        self.seen.set(largest);
+        largest
     }
 }
 
 /// Computes the suspended time as the difference of the clocks with and without suspensions.
 fn system_suspended() -> nix::Result<Duration> {
     // With this order a pause between the readings makes the result smaller, which `suspended` ignores.
-    let counts_all = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME)?);
-    let steady = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC)?);
-    Ok(counts_all.saturating_sub(steady))
+    let boottime = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME)?);
+    let monotonic = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC)?);
+    Ok(boottime.saturating_sub(monotonic))
 }
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -336,8 +336,8 @@
         (account.concurrency == 0, "concurrency: 0"),
         (account.key_hashes.is_empty(), "key_hashes: none"),
     ];
-    let wrong = checks.into_iter().filter(|(is_wrong, _)| *is_wrong);
-    wrong
+    let failed = checks.into_iter().filter(|(is_wrong, _)| *is_wrong);
+    failed
         .map(|(_, what)| format!("accounts.{id}.{what}"))
         .collect()
 }
--- a/src/config/serving.rs
+++ b/src/config/serving.rs
@@ -106,19 +106,22 @@
     /// Selects the service for a request by a hash of the request, so that repeats select the same one.
     pub fn service_for(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut left = hash.checked_rem(total)?;
+        let mut remaining = hash.checked_rem(total)?;
         for (service, weight) in &self.split {
             match u64::from(*weight) {
-                w if left < w => return Some(service),
-                w => left -= w,
+                w if remaining < w => return Some(service),
+                w => remaining -= w,
             }
         }
         None
     }
 
-    fn takes(&self, asked: &Asked) -> bool {
-        let by_method = self.method.as_ref().is_none_or(|m| *m == asked.method);
-        by_method && asked.path.starts_with(&self.path_prefix)
+    fn takes(&self, routing_key: &Asked) -> bool {
+        let by_method = self
+            .method
+            .as_ref()
+            .is_none_or(|m| *m == routing_key.method);
+        by_method && routing_key.path.starts_with(&self.path_prefix)
     }
 }
 
@@ -252,11 +255,11 @@
     }
 
     /// Returns the route for a request.
-    pub fn route(&self, asked: &Asked) -> Option<&Rc<Route>> {
-        let host = asked.host.as_str();
+    pub fn route(&self, routing_key: &Asked) -> Option<&Rc<Route>> {
+        let host = routing_key.host.as_str();
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
-        routes.iter().find(|r| r.takes(asked))
+        routes.iter().find(|r| r.takes(routing_key))
     }
 
     /// Returns the properties of a service.
@@ -277,10 +280,10 @@
     /// Returns the route and the account of a request, or why it is not allowed.
     pub fn admit(
         &self,
-        asked: &Asked,
+        routing_key: &Asked,
         key: Option<&str>,
     ) -> Result<(Rc<Route>, Option<KeyHolder>), Denied> {
-        let route = self.route(asked).ok_or(Denied::NoRoute)?;
+        let route = self.route(routing_key).ok_or(Denied::NoRoute)?;
         let holder = key.and_then(|k| self.holder(k)).cloned();
         match holder {
             None if self.keyed && !route.public => Err(Denied::WrongKey),
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -126,10 +126,10 @@
 const BIRTH_MARK: char = '~';
 
 impl TargetId {
-    /// Creates the id of a target that started at `birth`; `None` if the target does not report it.
-    pub fn new(name: &TargetName, birth: Option<UnixMillis>) -> Self {
-        match birth {
-            Some(birth) => Self(format!("{name}{BIRTH_MARK}{birth}").into()),
+    /// Creates the id of a target that started at `started_at`; `None` if the target does not report it.
+    pub fn new(name: &TargetName, started_at: Option<UnixMillis>) -> Self {
+        match started_at {
+            Some(started_at) => Self(format!("{name}{BIRTH_MARK}{started_at}").into()),
             None => Self(name.as_str().into()),
         }
     }
@@ -142,7 +142,7 @@
     /// Returns the target's name, which stays the same after a restart.
     pub fn name(&self) -> &str {
         let split = self.0.split_once(BIRTH_MARK);
-        split.map_or(&self.0, |(name, _birth)| name)
+        split.map_or(&self.0, |(name, _start)| name)
     }
 
     /// Returns the target's name as a `TargetName`.
@@ -161,11 +161,11 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<Self, IdError> {
-        let (name, birth) = match s.split_once(BIRTH_MARK) {
-            Some((name, birth)) => (name, Some(birth.parse()?)),
+        let (name, started_at) = match s.split_once(BIRTH_MARK) {
+            Some((name, start)) => (name, Some(start.parse()?)),
             None => (s, None),
         };
-        Ok(Self::new(&name.parse()?, birth))
+        Ok(Self::new(&name.parse()?, started_at))
     }
 }
 
@@ -302,7 +302,7 @@
 }
 
 fn is_name(s: &str) -> bool {
-    let fits = (1..=MAX_NAME).contains(&s.len());
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b':');
-    fits && s.bytes().all(plain)
+    let has_valid_length = (1..=MAX_NAME).contains(&s.len());
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b':');
+    has_valid_length && s.bytes().all(is_allowed)
 }
--- a/src/intent.rs
+++ b/src/intent.rs
@@ -108,7 +108,7 @@
 ///
 /// Changes accepted since the plan was made are no conflict as long as they edit other objects.
 pub fn change(log: &ConfigLog, plan: &Plan) -> Result<Change, IntentError> {
-    let between = match log.update_since(plan.base, plan.base_digest) {
+    let newer_changes = match log.update_since(plan.base, plan.base_digest) {
         Update::Current => Vec::new(),
         Update::Changes(changes) => changes,
         Update::Whole(_) => {
@@ -116,19 +116,19 @@
             return Err(IntentError::new(ResultCode::PlanOutdated, detail));
         }
     };
-    let mine: Vec<String> = plan.edits.iter().map(Edit::subject).collect();
-    let clash = between.iter().find_map(|c| {
+    let subjects: Vec<String> = plan.edits.iter().map(Edit::subject).collect();
+    let conflict = newer_changes.iter().find_map(|c| {
         let subject = c
             .edits
             .iter()
             .map(Edit::subject)
-            .find(|s| mine.contains(s))?;
+            .find(|s| subjects.contains(s))?;
         Some(format!(
             "{} by {} changed {subject}: {}",
             c.id, c.author, c.reason
         ))
     });
-    if let Some(detail) = clash {
+    if let Some(detail) = conflict {
         return Err(IntentError::new(ResultCode::PlanOutdated, detail));
     }
     apply(log.config(), &plan.edits)?;
@@ -197,10 +197,13 @@
     pools.dedup();
     let mut warnings = Vec::new();
     for pool in pools {
-        let (was, is) = (before.serving(pool).count(), after.serving(pool).count());
-        match is {
-            0 if was > 0 => warnings.push(format!("no target serves {pool} any more")),
-            n if n * 2 < was => warnings.push(format!("{pool} falls from {was} targets to {n}")),
+        let (count_before, count_after) =
+            (before.serving(pool).count(), after.serving(pool).count());
+        match count_after {
+            0 if count_before > 0 => warnings.push(format!("no target serves {pool} any more")),
+            n if n * 2 < count_before => {
+                warnings.push(format!("{pool} falls from {count_before} targets to {n}"));
+            }
             _ => {}
         }
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -215,10 +215,10 @@
             ("peer_listen", self.peer_listen),
             ("operator_listen", self.operator_listen),
         ];
-        let open = |a: &SocketAddr| !a.ip().is_loopback() && !self.allow_plain;
+        let is_exposed = |a: &SocketAddr| !a.ip().is_loopback() && !self.allow_plain;
         let mut faults: Vec<Fault> = listens
             .iter()
-            .filter(|(_, a)| open(a))
+            .filter(|(_, a)| is_exposed(a))
             .map(|(name, a)| fault(name, Some(a.to_string()), "loopback, or --allow-plain true"))
             .collect();
         if self.header_limit.0 < 8192 {
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -52,9 +52,9 @@
 
     /// Returns the last key that begins with a prefix.
     pub fn last_key(&self, prefix: &str) -> Option<&str> {
-        let below = self.items.range(prefix.to_owned()..);
-        let below = below.map(|(key, _)| key.as_str());
-        below.take_while(|key| key.starts_with(prefix)).last()
+        let following = self.items.range(prefix.to_owned()..);
+        let keys = following.map(|(key, _)| key.as_str());
+        keys.take_while(|key| key.starts_with(prefix)).last()
     }
 
     /// Replaces all entries by a complete list. A list that is older than the mirror is ignored.
@@ -170,16 +170,16 @@
 
     fn trim(&mut self) {
         self.most = self.most.max(self.items.len());
-        let kept = REMOVED_KEPT + self.most;
-        let more = self.removed.len().saturating_sub(kept);
-        if more == 0 {
+        let limit = REMOVED_KEPT + self.most;
+        let excess = self.removed.len().saturating_sub(limit);
+        if excess == 0 {
             return;
         }
         let mut revisions: Vec<StoreRevision> = self.removed.values().copied().collect();
-        let (_, last, _) = revisions.select_nth_unstable(more - 1);
-        let forgotten = *last;
-        self.removed.retain(|_, at| *at > forgotten);
-        self.oldest = self.oldest.max(forgotten);
+        let (_, newest_dropped, _) = revisions.select_nth_unstable(excess - 1);
+        let dropped = *newest_dropped;
+        self.removed.retain(|_, at| *at > dropped);
+        self.oldest = self.oldest.max(dropped);
     }
 }
 
