--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -20,7 +20,7 @@
         serving::{CallKind, CallerLimits},
     },
     discovery::{Discovery, ListChange, TargetRecord, TargetState},
-    dispatcher::{Dispatcher, Plan},
+    dispatcher::{CallPlan, Dispatcher},
     ids::{ConversationKey, Revision},
     prompt_cache::{PartId, PromptCache, PromptPart},
     retry::BudgetRule,
@@ -185,7 +185,7 @@
         address: ([10, 0, (n / 250) as u8, (n % 250) as u8], 8_000).into(),
         data_hall: name(&format!("hall-{}", n % 6)),
         slots,
-        most_tokens: None,
+        max_tokens: None,
         state: TargetState::Ready,
         cold_for: Duration::ZERO,
     };
@@ -223,13 +223,13 @@
 }
 
 /// A chat's third turn.
-fn turn(chat: u64) -> Plan {
+fn turn(chat: u64) -> CallPlan {
     let part = |id, tokens| PromptPart {
         id: PartId(id),
         tokens: Tokens(tokens),
     };
     let own = (0..5).map(|n| part(chat * 100 + n, 120));
-    Plan {
+    CallPlan {
         service: model(0).pool(),
         kind: CallKind::Safe,
         prompt: std::iter::once(part(1, 400)).chain(own).collect(),
--- a/src/call_plan.rs
+++ b/src/call_plan.rs
@@ -14,7 +14,7 @@
 
 /// A call that needs a target.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct CallPlan {
     /// The service that answers the call.
     pub service: ServiceName,
     /// Kind of the call: whether and how it may be retried.
@@ -42,7 +42,7 @@
     pub tried: Vec<TargetId>,
 }
 
-impl Plan {
+impl CallPlan {
     /// Returns the leading parts of the prompt that other calls share.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let n = self.shared_parts.min(self.prompt.len());
@@ -70,17 +70,17 @@
     pub(crate) fn new_tokens(&self) -> Tokens {
         self.prompt
             .iter()
-            .skip(self.said_parts())
+            .skip(self.sent_parts())
             .map(|p| p.tokens)
             .sum()
     }
 
     /// Returns how many parts of the prompt were sent before, in this chat or in others.
-    pub(crate) fn said_parts(&self) -> usize {
+    pub(crate) fn sent_parts(&self) -> usize {
         self.prompt.len().saturating_sub(2).max(self.shared_parts)
     }
 
     pub(crate) fn has_history(&self) -> bool {
-        self.said_parts() > self.shared_parts
+        self.sent_parts() > self.shared_parts
     }
 }
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -81,7 +81,7 @@
         address: target.address,
         data_hall: target.data_hall.clone(),
         slots: slots(target.weight),
-        most_tokens: target.capacity_tokens,
+        max_tokens: target.capacity_tokens,
         state: match target.intent {
             TargetIntent::Serve => TargetState::Ready,
             TargetIntent::Leave => TargetState::Leaving,
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -14,8 +14,8 @@
     ids::{ConversationKey, DataHall, ServiceName, TargetId},
     load_account::LoadAccount,
     placement::{
-        candidates::MANY_TARGETS,
-        choice::{NoChoice, Offer, Wanted, choose_beside, draw},
+        candidates::PRESELECTION_THRESHOLD,
+        choice::{PlacementError, PlacementRequest, TargetView, choose_with_sample, draw},
         spread::Survival,
     },
     prompt_cache::PromptCache,
@@ -25,36 +25,36 @@
     units::{Instant, Tokens},
     withdrawals::{self, Withdrawal, Withdrawals},
 };
-pub use crate::{call_plan::Plan, ticket::Ticket};
+pub use crate::{call_plan::CallPlan, ticket::Ticket};
 
 /// Memory of a model engine, in tokens, if its service does not configure it.
-const MEMORY_UNTOLD: u64 = 200_000;
+const DEFAULT_MEMORY_TOKENS: u64 = 200_000;
 
 /// Minimum number of tokens to save for a prompt to be copied from another target's memory: setting up the
 /// transfer takes about as long as reading these.
-const FETCH_LEAST: Tokens = Tokens(128);
+const MIN_FETCH_TOKENS: Tokens = Tokens(128);
 
 /// What a call needs to know about its service to assess each target.
-struct Reach {
+struct ServiceContext {
     limit: CallLimit,
     /// Minimum over all targets of the tokens that they would have to read of the prompt.
     least_missing: Option<Tokens>,
     /// Whether targets can copy a prompt from each other's memory.
-    fetches: bool,
+    can_fetch: bool,
     /// Fraction of the calls counted by other routers that is still in progress.
     survival: Survival,
 }
 
-impl Reach {
+impl ServiceContext {
     /// Returns how many of the `missing` tokens another target has read.
-    fn elsewhere(&self, missing: Tokens) -> Tokens {
+    fn read_elsewhere(&self, missing: Tokens) -> Tokens {
         let least = self.least_missing;
         least.map_or(Tokens(0), |least| missing.less(least))
     }
 }
 
 /// Targets that are scored for a call.
-struct Field {
+struct ScoredTargets {
     targets: Vec<Rc<TargetRecord>>,
     /// How many targets at the end of `targets` are the sample that represents all targets; `None` if
     /// `targets` holds all of them.
@@ -84,12 +84,12 @@
     pub cold: ColdShares,
     hall: DataHall,
     cap_factor: f64,
-    swept: Instant,
+    swept_at: Instant,
 }
 
 /// Interval between sweeps that forget the prompts of targets that are gone: longer than a live target is
 /// missing from the list.
-const SWEEP_EVERY: Duration = Duration::from_secs(5);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Dispatcher {
     /// Creates a dispatcher without targets or learned state.
@@ -106,7 +106,7 @@
             cold: ColdShares::new(rules.cold),
             hall,
             cap_factor: rules.cap_factor,
-            swept: Instant::default(),
+            swept_at: Instant::default(),
         }
     }
 
@@ -118,27 +118,27 @@
     }
 
     /// Chooses a target for a call and reserves a place there; [`Self::on_end`] releases it.
-    pub fn choose(&mut self, now: Instant, plan: &Plan) -> Result<Ticket, NoChoice> {
-        let preselected = self.few_targets(now, plan);
+    pub fn choose(&mut self, now: Instant, plan: &CallPlan) -> Result<Ticket, PlacementError> {
+        let preselected = self.preselected_targets(now, plan);
         let is_preselected = preselected.is_some();
         let mut weighed = 0;
         let field = preselected.unwrap_or_else(|| self.all_targets(now, plan));
         if field.targets.is_empty() {
-            return Err(self.no_target(now, &plan.service));
+            return Err(self.placement_error(now, &plan.service));
         }
         if !(self.admission).lets_in(now, &plan.service, plan.surge, plan.draw()) {
             self.admission.on_refused(now, &plan.service);
-            return Err(NoChoice::AllFull);
+            return Err(PlacementError::AllFull);
         }
         weighed += field.targets.len();
-        let mut found = self.look(now, plan, &field);
+        let mut found = self.select(now, plan, &field);
         let is_sound = found
             .as_ref()
             .is_ok_and(|(_, offer)| offer.standing < Standing::Suspected);
         if is_preselected && !is_sound {
             let all = self.all_targets(now, plan);
             weighed += all.targets.len();
-            found = self.look(now, plan, &all);
+            found = self.select(now, plan, &all);
         }
         let (target, offer) = found.inspect_err(|_| {
             self.admission.on_refused(now, &plan.service);
@@ -148,10 +148,10 @@
             work: InProgress::one(offer.missing + plan.answer),
             answer: plan.answer,
             calls: offer.counts.all(),
-            weighed,
+            scored_targets: weighed,
             counted_ago: self.load.age(now),
             missing: offer.missing,
-            holds: offer.holds,
+            has_read: offer.has_read,
             fetch_from: self.fetch_source(now, plan, &offer),
             standing: offer.standing,
             warmth: offer.warmth,
@@ -167,13 +167,13 @@
     }
 
     /// Returns all targets of the call's service that accept calls.
-    fn all_targets(&self, now: Instant, plan: &Plan) -> Field {
+    fn all_targets(&self, now: Instant, plan: &CallPlan) -> ScoredTargets {
         let serving = self.discovery.serving(&plan.service);
         // Without this filter, 151 of 444 attempts within 7 s failed at three of nine targets that backed
         // off, and calls were sent for 12 s to a target that was leaving (counted from log lines of
         // attempts).
         let targets = self.withdrawals.without(now, serving);
-        Field {
+        ScoredTargets {
             targets: targets.into_iter().cloned().collect(),
             sample: None,
         }
@@ -181,40 +181,40 @@
 
     /// Returns the preselected targets that are scored first when there are very many. Returns `None` if
     /// all targets are to be scored, or if none of the sample accepts calls.
-    fn few_targets(&self, now: Instant, plan: &Plan) -> Option<Field> {
+    fn preselected_targets(&self, now: Instant, plan: &CallPlan) -> Option<ScoredTargets> {
         let preselected = self.discovery.pools().candidates(plan, &self.cache)?;
         let is_open = |t: &Rc<TargetRecord>| self.withdrawals.of(now, &t.id).is_none();
-        let mut targets = preselected.holding;
-        let mut sample = preselected.others;
+        let mut targets = preselected.holders;
+        let mut sample = preselected.sample;
         targets.retain(is_open);
         sample.retain(is_open);
         let n = sample.len();
         targets.extend(sample);
-        (n > 0).then_some(Field {
+        (n > 0).then_some(ScoredTargets {
             targets,
             sample: Some(n),
         })
     }
 
     /// Scores targets for a call. Returns the chosen target and its state as seen by the call.
-    fn look(
+    fn select(
         &mut self,
         now: Instant,
-        plan: &Plan,
-        field: &Field,
-    ) -> Result<(Rc<TargetRecord>, Offer), NoChoice> {
+        plan: &CallPlan,
+        field: &ScoredTargets,
+    ) -> Result<(Rc<TargetRecord>, TargetView), PlacementError> {
         let targets = &field.targets;
         let slot_time = self.admission.room(now, &plan.service).held;
-        let reach = Reach {
+        let reach = ServiceContext {
             survival: Survival::new(self.load.age(now), slot_time),
             limit: self.admission.limit(&plan.service, plan.goal),
             least_missing: self.least_missing(now, plan),
-            fetches: plan.engine.is_some_and(|e| e.moves),
+            can_fetch: plan.engine.is_some_and(|e| e.moves),
         };
         let first = plan.chat.and_then(|chat| first_choice(targets, chat));
-        let expected = first.filter(|_| !self.is_known_somewhere(targets, plan));
-        let offer = |t: &Rc<TargetRecord>| self.offer(now, t, plan, &reach, expected);
-        let mut offers: Vec<Offer> = targets.iter().map(offer).collect();
+        let expected = first.filter(|_| !self.is_history_cached(targets, plan));
+        let offer = |t: &Rc<TargetRecord>| self.target_view(now, t, plan, &reach, expected);
+        let mut offers: Vec<TargetView> = targets.iter().map(offer).collect();
         if let Some(warm_up) = plan.warm_up.filter(|_| self.discovery.may_be_cold()) {
             for (offer, target) in offers.iter_mut().zip(targets) {
                 if self
@@ -228,21 +228,21 @@
             }
         }
         let pools = self.discovery.pools();
-        let wanted = Wanted {
+        let wanted = PlacementRequest {
             key: plan.key(),
             call: plan.hash,
             survival: reach.survival,
-            shared: !plan.shared_parts().is_empty() && plan.chat.is_none(),
+            has_shared_prompt: !plan.shared_parts().is_empty() && plan.chat.is_none(),
             is_chat: plan.chat.is_some(),
             surge: plan.surge,
             repeatable: plan.kind.is_repeatable(),
             cap_factor: self.cap_factor,
-            calls_a_slot: field
+            calls_per_slot: field
                 .sample
-                .and_then(|_| pools.calls_a_slot(&plan.service, &self.load)),
+                .and_then(|_| pools.calls_per_slot(&plan.service, &self.load)),
         };
         let sample = field.sample.unwrap_or(offers.len());
-        let i = choose_beside(&offers, &offers[offers.len() - sample..], &wanted)?;
+        let i = choose_with_sample(&offers, &offers[offers.len() - sample..], &wanted)?;
         Ok((Rc::clone(&targets[i]), offers.swap_remove(i)))
     }
 
@@ -289,8 +289,8 @@
         self.health.outages.on_tick(now);
         self.cold.on_tick(now);
         self.admission.on_tick(now);
-        if now.since(self.swept) >= SWEEP_EVERY {
-            self.swept = now;
+        if now.since(self.swept_at) >= SWEEP_INTERVAL {
+            self.swept_at = now;
             self.cache.sweep(listed);
         }
         gone
@@ -298,12 +298,12 @@
 
     /// Returns why a service has no target. Records a refusal for lack of room unless the reason is
     /// `NoTarget`, as the other reasons hold only for a while.
-    fn no_target(&mut self, now: Instant, service: &ServiceName) -> NoChoice {
+    fn placement_error(&mut self, now: Instant, service: &ServiceName) -> PlacementError {
         let serving = self.discovery.serving(service);
         let reason = match self.withdrawals.none_of(now, serving) {
             Some(reason) if !serving.is_empty() => reason,
-            _ if self.discovery.is_evacuated(service) => NoChoice::AllEvacuated,
-            _ => return NoChoice::NoTarget,
+            _ if self.discovery.is_evacuated(service) => PlacementError::AllEvacuated,
+            _ => return PlacementError::NoTarget,
         };
         self.admission.on_refused(now, service);
         reason
@@ -311,7 +311,12 @@
 
     /// Records that a target withdrew. Returns whether the target accepted calls until now, or is leaving
     /// after it only backed off.
-    pub fn on_said(&mut self, now: Instant, target: &TargetId, withdrawal: Withdrawal) -> bool {
+    pub fn on_withdrawal(
+        &mut self,
+        now: Instant,
+        target: &TargetId,
+        withdrawal: Withdrawal,
+    ) -> bool {
         let is_news = self.withdrawals.on_said(now, target, withdrawal);
         // Peers are notified, so that they prefer other targets too. When a third of the targets back off,
         // 9,300 to 23,400 attempts are turned away until each of hundreds of routers has tried each of
@@ -324,14 +329,14 @@
 
     /// Returns when a caller that found no room should retry, if it waits for `left` in all. `draw`, from 0
     /// to 1, spreads the retries of callers that were refused together.
-    pub fn come_back(
+    pub fn retry_after(
         &self,
         now: Instant,
         service: &ServiceName,
         left: Duration,
         draw: f64,
     ) -> Duration {
-        match self.backoff_left(now, service) {
+        match self.backoff_remaining(now, service) {
             Some(backoff) => withdrawals::come_back(backoff, draw),
             None => self.admission.come_back(now, service, left, draw),
         }
@@ -339,17 +344,17 @@
 
     /// Returns the time until the first target of a service accepts calls again; `None` if a target accepts
     /// calls now, or if all are leaving.
-    pub fn backoff_left(&self, now: Instant, service: &ServiceName) -> Option<Duration> {
+    pub fn backoff_remaining(&self, now: Instant, service: &ServiceName) -> Option<Duration> {
         let serving = self.discovery.serving(service);
         match self.withdrawals.none_of(now, serving)? {
-            NoChoice::AllBackedOff { left } => Some(left),
+            PlacementError::AllBackedOff { left } => Some(left),
             _ => None,
         }
     }
 
     /// Records that a call was sent. `is_first` tells whether peers expect the chat at this target: then
     /// they are notified of the shared parts of the prompt only, otherwise of all parts but the last.
-    fn on_send(&mut self, now: Instant, ticket: &Ticket, plan: &Plan, is_first: bool) {
+    fn on_send(&mut self, now: Instant, ticket: &Ticket, plan: &CallPlan, is_first: bool) {
         let target = &ticket.target.id;
         self.load.on_send(target, ticket.work);
         if ticket.warmth == Warmth::Shared {
@@ -360,7 +365,9 @@
             true => plan.shared_parts().len(),
             false => plan.prompt.len().saturating_sub(1),
         };
-        let memory = plan.engine.map_or(MEMORY_UNTOLD, |e| e.memory_tokens);
+        let memory = plan
+            .engine
+            .map_or(DEFAULT_MEMORY_TOKENS, |e| e.memory_tokens);
         if !plan.prompt.is_empty() {
             self.cache.on_send(target, &plan.prompt, announced, memory);
         }
@@ -371,8 +378,13 @@
     /// everything to be fetched from an engine that is down has to be read again: 2.2 M of 16.1 M tokens to
     /// be fetched within 35 s, in which a sixth of 240 engines went down once (counted from log lines of
     /// attempts).
-    fn sources(&self, now: Instant, plan: &Plan) -> impl Iterator<Item = &Rc<TargetRecord>> {
-        let has_many_targets = self.discovery.serving(&plan.service).len() >= MANY_TARGETS;
+    fn fetch_sources(
+        &self,
+        now: Instant,
+        plan: &CallPlan,
+    ) -> impl Iterator<Item = &Rc<TargetRecord>> {
+        let has_many_targets =
+            self.discovery.serving(&plan.service).len() >= PRESELECTION_THRESHOLD;
         let shares = !plan.shared_parts().is_empty();
         let all = self
             .discovery
@@ -390,7 +402,7 @@
     }
 
     /// Returns the targets that have read the deepest shared part of the prompt that any target has read.
-    fn deepest_holders(&self, plan: &Plan) -> &[TargetId] {
+    fn deepest_holders(&self, plan: &CallPlan) -> &[TargetId] {
         let shared = plan.shared_parts().iter().rev();
         let mut holders = shared.map(|part| self.cache.holders(part.id));
         holders.find(|h| !h.is_empty()).unwrap_or_default()
@@ -398,62 +410,71 @@
 
     /// Returns whether a target is known to have read the chat's history. If none is, the chat's first
     /// choice is assumed to have read it.
-    fn is_known_somewhere(&self, targets: &[Rc<TargetRecord>], plan: &Plan) -> bool {
+    fn is_history_cached(&self, targets: &[Rc<TargetRecord>], plan: &CallPlan) -> bool {
         let new = plan.new_tokens();
         let knows = |t: &Rc<TargetRecord>| self.cache.missing(&t.id, &plan.prompt) <= new;
         plan.has_history() && targets.iter().any(knows)
     }
 
     /// Returns the minimum over all targets of the tokens that they would have to read of the prompt.
-    fn least_missing(&self, now: Instant, plan: &Plan) -> Option<Tokens> {
+    fn least_missing(&self, now: Instant, plan: &CallPlan) -> Option<Tokens> {
         let missing = |t: &Rc<TargetRecord>| self.cache.missing(&t.id, &plan.prompt);
-        self.sources(now, plan).map(missing).min()
+        self.fetch_sources(now, plan).map(missing).min()
     }
 
     /// Returns the target from which the chosen target copies the prompt, if another one has read much more
     /// of it.
-    fn fetch_source(&self, now: Instant, plan: &Plan, chosen: &Offer) -> Option<Rc<TargetRecord>> {
+    fn fetch_source(
+        &self,
+        now: Instant,
+        plan: &CallPlan,
+        chosen: &TargetView,
+    ) -> Option<Rc<TargetRecord>> {
         if !plan.engine.is_some_and(|e| e.moves) {
             return None;
         }
         let missing = |t: &&Rc<TargetRecord>| self.cache.missing(&t.id, &plan.prompt);
-        let source = self.sources(now, plan).min_by_key(missing)?;
+        let source = self.fetch_sources(now, plan).min_by_key(missing)?;
         let saved = chosen.missing.less(missing(&source));
-        (saved >= FETCH_LEAST).then(|| Rc::clone(source))
+        (saved >= MIN_FETCH_TOKENS).then(|| Rc::clone(source))
     }
 
-    fn offer(
+    fn target_view(
         &self,
         now: Instant,
         target: &Rc<TargetRecord>,
-        plan: &Plan,
-        reach: &Reach,
+        plan: &CallPlan,
+        reach: &ServiceContext,
         expected_at: Option<&TargetId>,
-    ) -> Offer {
+    ) -> TargetView {
         let id = &target.id;
         let mut missing = self.cache.missing(id, &plan.prompt);
         if expected_at == Some(id) {
             missing = missing.min(plan.new_tokens());
         }
         let deepest = plan.shared_parts().last();
-        let elsewhere = reach.elsewhere(missing);
+        let elsewhere = reach.read_elsewhere(missing);
         let traits = CallTraits {
-            at_home: elsewhere < FETCH_LEAST,
+            at_home: elsewhere < MIN_FETCH_TOKENS,
             surges: plan.surge.is_on(),
         };
-        Offer {
+        TargetView {
             standing: self.health.standing(now, id),
             counts: self.load.call_counts(now, id),
             backlog: self.load.backlog(id, reach.survival),
             missing,
-            fetchable: if reach.fetches { elsewhere } else { Tokens(0) },
-            holds: deepest.is_some_and(|p| self.cache.holds(id, p.id)),
-            kept: self.cache.kept(id),
+            fetchable: if reach.can_fetch {
+                elsewhere
+            } else {
+                Tokens(0)
+            },
+            has_read: deepest.is_some_and(|p| self.cache.has_read(id, p.id)),
+            cached_tokens: self.cache.cached_tokens(id),
             slots: target.slots,
-            most_calls: reach.limit.most_calls(target.slots, traits),
-            most_tokens: target.most_tokens,
+            max_calls: reach.limit.most_calls(target.slots, traits),
+            max_tokens: target.max_tokens,
             warmth: Warmth::Warm,
-            near: target.data_hall == self.hall,
+            in_local_hall: target.data_hall == self.hall,
             tried: plan.tried.contains(id),
             target: id.clone(),
         }
--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -19,9 +19,9 @@
     admission::{surge::Surge, wait_for_config},
     config::serving::{Denied, KeyHolder, Route},
     dialect::{CallFacts, Refusal},
-    dispatcher::Plan,
+    dispatcher::CallPlan,
     explain::Decision,
-    fingerprint::{Fingerprint, Identity},
+    fingerprint::{Fingerprint, FingerprintInput},
     ids::ClientAccountId,
     lifecycle::Phase,
     retry::Attempts,
@@ -143,7 +143,7 @@
         let admission = &mut cx.dispatcher.borrow_mut().admission;
         admission.on_call(received, account)
     });
-    let plan = Plan {
+    let plan = CallPlan {
         kind: route.kind,
         prompt: facts.prompt.clone(),
         shared_parts: facts.shared_parts,
@@ -186,7 +186,7 @@
 ) -> Fingerprint {
     let asked = &facts.asked;
     let whole = head.uri.path_and_query().map(PathAndQuery::as_str);
-    Fingerprint::of(&Identity {
+    Fingerprint::of(&FingerprintInput {
         account,
         host: &asked.host,
         method: &asked.method,
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -22,11 +22,11 @@
 use crate::{
     config::serving::{KeyHolder, Route},
     dialect::{AnswerFacts, CallFacts, Handover, Refused},
-    dispatcher::{Plan, Ticket},
+    dispatcher::{CallPlan, Ticket},
     explain::Decision,
     fingerprint::Fingerprint,
     ids::TargetId,
-    placement::choice::NoChoice,
+    placement::choice::PlacementError,
     retry::{Attempts, Fate},
     spans::HopSpan,
     units::{Instant, Rank},
@@ -42,7 +42,7 @@
     pub(crate) facts: CallFacts,
     pub(crate) route: Rc<Route>,
     pub(crate) holder: Option<KeyHolder>,
-    pub(crate) plan: Plan,
+    pub(crate) plan: CallPlan,
     pub(crate) conn_limit: usize,
     pub(crate) received: Instant,
     /// When an answer is of no use any more, or the operator wants the call ended.
@@ -155,12 +155,12 @@
         }
         let chosen = cx.dispatcher.borrow_mut().choose(now, &call.plan);
         let ticket = chosen.map_err(|no| match no {
-            NoChoice::NoTarget => Failed::nowhere(AttemptEnd::NoTarget),
-            NoChoice::AllFull => Failed::nowhere(AttemptEnd::AllFull),
-            NoChoice::AllCold => Failed::nowhere(AttemptEnd::AllCold),
-            NoChoice::AllEvacuated => Failed::nowhere(AttemptEnd::AllEvacuated),
-            NoChoice::AllLeaving => Failed::nowhere(AttemptEnd::AllLeaving),
-            NoChoice::AllBackedOff { .. } => Failed::nowhere(AttemptEnd::AllBackedOff),
+            PlacementError::NoTarget => Failed::nowhere(AttemptEnd::NoTarget),
+            PlacementError::AllFull => Failed::nowhere(AttemptEnd::AllFull),
+            PlacementError::AllCold => Failed::nowhere(AttemptEnd::AllCold),
+            PlacementError::AllEvacuated => Failed::nowhere(AttemptEnd::AllEvacuated),
+            PlacementError::AllLeaving => Failed::nowhere(AttemptEnd::AllLeaving),
+            PlacementError::AllBackedOff { .. } => Failed::nowhere(AttemptEnd::AllBackedOff),
         })?;
         let target = Rc::clone(&ticket.target);
         cx.metrics.prompt_tokens_missing.inc_by(ticket.missing.0);
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -236,10 +236,10 @@
     let now = cx.now();
     let (service, left) = (&call.plan.service, call.hold_until.since(now));
     let dispatcher = cx.dispatcher.borrow();
-    let pause = dispatcher.come_back(now, service, left, rand::random());
+    let pause = dispatcher.retry_after(now, service, left, rand::random());
     cx.metrics.on_no_room(pause);
     let room = dispatcher.admission.room(now, service);
-    let backoff = dispatcher.backoff_left(now, service);
+    let backoff = dispatcher.backoff_remaining(now, service);
     let ms = |d: Duration| d.as_millis() as u64;
     info!(cx.log, "no room"; "id" => call.id(), "service" => %service,
         "short_for_ms" => room.short_for.map(ms), "slot_held_ms" => room.held.map(ms), "backoff_ms" => backoff.map(ms),
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -23,7 +23,7 @@
         peers::Heard,
         records::Exchange,
     },
-    prompt_cache::{News, PromptPart},
+    prompt_cache::{PartLocation, PromptPart},
     units::Instant,
 };
 
@@ -80,7 +80,7 @@
         }
         if last.is_young && now.0 >= TEACHES_AFTER {
             last.is_young = false;
-            cx.dispatcher.borrow_mut().cache.tell_again();
+            cx.dispatcher.borrow_mut().cache.announce_again();
         }
         if now.since(last.shares) >= SHARE_EVERY {
             last.shares = now;
@@ -168,10 +168,10 @@
     }
 }
 
-fn news_of_prompts(cx: &Gateway) -> Vec<News> {
+fn news_of_prompts(cx: &Gateway) -> Vec<PartLocation> {
     let young = cx.now().0 < TEACHES_AFTER;
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    dispatcher.cache.take_news(PARTS_TOLD, young)
+    dispatcher.cache.take_announcements(PARTS_TOLD, young)
 }
 
 /// Tells the keepers of accounts what is needed of their limits here.
@@ -218,7 +218,7 @@
     let _ = udp.try_send_to(&bytes, address);
 }
 
-pub(super) fn datagram(cx: &Gateway, parts: Vec<News>) -> Datagram {
+pub(super) fn datagram(cx: &Gateway, parts: Vec<PartLocation>) -> Datagram {
     let now = cx.now();
     let freshness = cx.freshness.borrow();
     let age = freshness.age(now);
@@ -322,7 +322,7 @@
         dispatcher.load.on_peer(now, told.vm, told.hall, load);
     }
     match postcard::from_bytes::<HallSums>(&told.halls) {
-        Ok(sums) => dispatcher.load.on_halls(now, sums),
+        Ok(sums) => dispatcher.load.on_hall_sums(now, sums),
         Err(_) if told.halls.is_empty() => {}
         Err(e) => debug!(cx.log, "sums not understood"; "from" => %from, "why" => %e),
     }
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -124,7 +124,7 @@
         cx.conns.on_tick(now);
         let alive = cx.peers.borrow().alive(now);
         let size = cx.peers.borrow().size();
-        cx.dispatcher.borrow_mut().load.set_fleet(size);
+        cx.dispatcher.borrow_mut().load.set_fleet_size(size);
         cx.metrics.peers_alive.set(alive as i64);
         let age = cx.freshness.borrow().age(now);
         cx.metrics
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -63,7 +63,7 @@
         dispatcher.admission.on_recalled(service, *held);
     }
     info!(cx.log, "saved prompts"; "parts" => saved.prompts.len(), "lapsed_targets" => lapsed.len());
-    for (id, tokens, target) in saved.prompts.held() {
+    for (id, tokens, target) in saved.prompts.part_locations() {
         let part = PromptPart { id, tokens };
         dispatcher.cache.on_peer(&target, part, false);
     }
@@ -93,7 +93,7 @@
 
 fn snapshot(cx: &Gateway) -> Saved {
     let dispatcher = cx.dispatcher.borrow();
-    let has_read = |id: &TargetId| dispatcher.cache.kept(id).0 > 0;
+    let has_read = |id: &TargetId| dispatcher.cache.cached_tokens(id).0 > 0;
     let held = dispatcher.admission.learned();
     Saved {
         prompts: PromptSnapshot::new(&dispatcher.cache.shared_parts()),
--- a/src/edge/sums.rs
+++ b/src/edge/sums.rs
@@ -34,8 +34,8 @@
             }
         };
         Self {
-            all: encode(&dispatcher.load.all_halls(now)),
-            own: encode(&vec![dispatcher.load.own_hall(now)]),
+            all: encode(&dispatcher.load.all_hall_sums(now)),
+            own: encode(&vec![dispatcher.load.own_hall_sum(now)]),
         }
     }
 }
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -185,7 +185,7 @@
         calls: calls(&t.id),
         load: f64::from(calls(&t.id)) / mean(&t.service).max(1.0),
         tokens: dispatcher.load.total(&t.id).tokens.0,
-        kept: dispatcher.cache.kept(&t.id).0,
+        kept: dispatcher.cache.cached_tokens(&t.id).0,
     };
     let mut shown: Vec<TargetStatus> = all.iter().map(status).collect();
     shown.sort_by(|a, b| a.target.cmp(&b.target));
--- a/src/edge/withdrawals.rs
+++ b/src/edge/withdrawals.rs
@@ -23,7 +23,7 @@
         return;
     };
     let now = cx.now();
-    if !(cx.dispatcher.borrow_mut()).on_said(now, target, withdrawal) {
+    if !(cx.dispatcher.borrow_mut()).on_withdrawal(now, target, withdrawal) {
         return;
     }
     if withdrawal == Withdrawal::Leaving {
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -17,7 +17,7 @@
 
 /// Input of a fingerprint.
 #[derive(Debug, Clone, Copy)]
-pub struct Identity<'a> {
+pub struct FingerprintInput<'a> {
     /// The account that calls; `None` if the service is open to anyone.
     pub account: Option<&'a ClientAccountId>,
     /// The requested host.
@@ -32,7 +32,7 @@
 
 impl Fingerprint {
     /// Computes the fingerprint of a call.
-    pub fn of(identity: &Identity<'_>) -> Self {
+    pub fn of(identity: &FingerprintInput<'_>) -> Self {
         let account = identity.account.map_or("", ClientAccountId::as_str);
         let mut hasher = Xxh3::new();
         for part in [
--- a/src/load_account.rs
+++ b/src/load_account.rs
@@ -27,17 +27,17 @@
 
 /// How long a peer's counts are used after its last datagram: three of its slowest heartbeats. A peer that
 /// is silent for longer is gone or cut off, and its calls have ended or will end soon.
-pub const PEER_EXPIRES: Duration = Duration::from_secs(3);
+pub const PEER_TTL: Duration = Duration::from_secs(3);
 
 /// How long a target's own report is compared with the counts: under load, engines answer about this often.
-const REPORT_EXPIRES: Duration = Duration::from_millis(400);
+const REPORT_TTL: Duration = Duration::from_millis(400);
 
-/// Number of peers from which sums are recomputed at most every [`SUM_EVERY`] instead of on each datagram:
+/// Number of peers from which sums are recomputed at most every [`SUM_INTERVAL`] instead of on each datagram:
 /// a hub for some hundred routers receives as many datagrams a second, and adds up all counts each time.
-const MANY_PEERS: usize = 64;
+const SUM_THROTTLE_PEERS: usize = 64;
 
 /// Minimum interval between recomputed sums in large fleets.
-const SUM_EVERY: Duration = Duration::from_millis(50);
+const SUM_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Load that a target reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,10 +53,10 @@
 /// single count says almost nothing. When all routers relied on a single count, all refused at once and all
 /// sent at once: at two thirds of their capacity, targets turned 0.57 to 0.72 of the arrivals away
 /// (`tests/load/stale_counts.rs`, 7 to 380 routers).
-const USUAL_OVER: Duration = Duration::from_secs(2);
+const MEAN_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Average number of calls below which a target's average is dropped.
-const NEXT_TO_NONE: f64 = 0.01;
+const MIN_MEAN_CALLS: f64 = 0.01;
 
 type Counts = HashMap<TargetHash, InProgress>;
 
@@ -66,17 +66,17 @@
     hall: DataHall,
     own: Counts,
     /// Own counts as last sent to the router that adds them up.
-    own_told: Counts,
+    own_sent: Counts,
     peers: BTreeMap<VmId, PeerCounts>,
     halls: BTreeMap<DataHall, HallCounts>,
     /// How long a data hall's sum is used after it was received.
-    hall_expires: Duration,
+    hall_ttl: Duration,
     summed_at: Instant,
     others: Counts,
     /// Mean time at which the calls in `others` were counted.
     others_counted: Instant,
-    usual: HashMap<TargetHash, f64>,
-    usual_at: Instant,
+    mean_others: HashMap<TargetHash, f64>,
+    mean_updated_at: Instant,
     reports: HashMap<TargetId, (Instant, ReportedLoad)>,
     changed: bool,
 }
@@ -92,18 +92,18 @@
 struct HallCounts {
     at: Instant,
     /// Mean time at which the data hall's routers counted their calls.
-    counted: Instant,
+    counted_at: Instant,
     counts: TargetCounts,
 }
 
 /// Accumulates the mean time at which calls were counted, weighted by calls.
 #[derive(Debug, Default)]
-struct MeanMoment {
+struct MeanTime {
     calls: f64,
     call_seconds: f64,
 }
 
-impl MeanMoment {
+impl MeanTime {
     fn add(&mut self, calls: u32, counted: Instant) {
         self.calls += f64::from(calls);
         self.call_seconds += f64::from(calls) * counted.0.as_secs_f64();
@@ -122,23 +122,23 @@
         Self {
             hall,
             own: HashMap::new(),
-            own_told: HashMap::new(),
+            own_sent: HashMap::new(),
             peers: BTreeMap::new(),
             halls: BTreeMap::new(),
-            hall_expires: pace::sum_expires(1),
+            hall_ttl: pace::sum_expires(1),
             summed_at: Instant::default(),
             others: HashMap::new(),
             others_counted: Instant::default(),
-            usual: HashMap::new(),
-            usual_at: Instant::default(),
+            mean_others: HashMap::new(),
+            mean_updated_at: Instant::default(),
             reports: HashMap::new(),
             changed: false,
         }
     }
 
     /// Sets the number of routers in the fleet, which determines how long a sum is used.
-    pub fn set_fleet(&mut self, routers: usize) {
-        self.hall_expires = pace::sum_expires(routers);
+    pub fn set_fleet_size(&mut self, routers: usize) {
+        self.hall_ttl = pace::sum_expires(routers);
     }
 
     /// Records that a call was sent to a target.
@@ -150,7 +150,7 @@
     /// Records that a call ended, whatever the outcome.
     pub fn on_end(&mut self, target: &TargetId, work: InProgress) {
         if let Some(own) = self.own.get_mut(&target.into()) {
-            own.take(work);
+            own.subtract(work);
         }
         self.own.retain(|_, w| w.calls > 0);
         self.changed = true;
@@ -161,14 +161,15 @@
         let is_summed = self.is_summed(now, &hall);
         let at = now;
         self.peers.insert(peer, PeerCounts { at, hall, counts });
-        let is_due = self.peers.len() < MANY_PEERS || now.since(self.summed_at) >= SUM_EVERY;
+        let is_due =
+            self.peers.len() < SUM_THROTTLE_PEERS || now.since(self.summed_at) >= SUM_INTERVAL;
         if !is_summed && is_due {
             self.sum_others(now);
         }
     }
 
     /// Takes over the sums for data halls that a router sent; they include this router's calls.
-    pub fn on_halls(&mut self, now: Instant, sums: HallSums) {
+    pub fn on_hall_sums(&mut self, now: Instant, sums: HallSums) {
         for HallSum {
             hall,
             age_ms,
@@ -179,7 +180,7 @@
             let at = now;
             let sum = HallCounts {
                 at,
-                counted,
+                counted_at: counted,
                 counts,
             };
             self.halls.insert(hall, sum);
@@ -189,11 +190,11 @@
 
     /// Drops peers, data halls and reports that have expired.
     pub fn on_tick(&mut self, now: Instant) {
-        self.peers.retain(|_, p| now.since(p.at) < PEER_EXPIRES);
-        let expires = self.hall_expires;
+        self.peers.retain(|_, p| now.since(p.at) < PEER_TTL);
+        let expires = self.hall_ttl;
         self.halls.retain(|_, h| now.since(h.at) < expires);
         self.reports
-            .retain(|_, (at, _)| now.since(*at) < REPORT_EXPIRES);
+            .retain(|_, (at, _)| now.since(*at) < REPORT_TTL);
         self.sum_others(now);
     }
 
@@ -229,12 +230,12 @@
         let own = self.own.get(&hash).map_or(0, |w| w.calls);
         let counted = self.total(target).calls;
         let report = self.reports.get(target);
-        let report = report.filter(|(at, _)| now.since(*at) < REPORT_EXPIRES);
+        let report = report.filter(|(at, _)| now.since(*at) < REPORT_TTL);
         let all = report.map_or(counted, |(_, t)| counted.max(t.running + t.waiting));
         CallCounts {
             own,
             others: all.saturating_sub(own),
-            usual: self.usual.get(&hash).copied().unwrap_or_default(),
+            mean_others: self.mean_others.get(&hash).copied().unwrap_or_default(),
         }
     }
 
@@ -257,26 +258,26 @@
 
     /// Returns all own counts to send to peers, and remembers them as sent.
     pub fn own_counts(&mut self) -> TargetCounts {
-        self.own_told.clone_from(&self.own);
-        listed(&self.own)
+        self.own_sent.clone_from(&self.own);
+        to_target_counts(&self.own)
     }
 
     /// Returns the work in progress by data hall: this one's sum, including this router, and the sums last
     /// received for the others.
-    pub fn all_halls(&self, now: Instant) -> HallSums {
+    pub fn all_hall_sums(&self, now: Instant) -> HallSums {
         let others = self.halls.iter().filter(|(hall, _)| **hall != self.hall);
         let others = others.map(|(hall, h)| HallSum {
             hall: hall.clone(),
-            age_ms: age_ms(now, h.counted),
+            age_ms: age_ms(now, h.counted_at),
             counts: h.counts.clone(),
         });
-        others.chain([self.own_hall(now)]).collect()
+        others.chain([self.own_hall_sum(now)]).collect()
     }
 
     /// Returns the work that all routers of this data hall have in progress, including this one.
-    pub fn own_hall(&self, now: Instant) -> HallSum {
+    pub fn own_hall_sum(&self, now: Instant) -> HallSum {
         let mut sum = self.own.clone();
-        let mut counted = MeanMoment::default();
+        let mut counted = MeanTime::default();
         counted.add(self.own.values().map(|w| w.calls).sum(), now);
         for peer in self.peers.values().filter(|p| p.hall == self.hall) {
             add_counts(&mut sum, &peer.counts);
@@ -285,7 +286,7 @@
         HallSum {
             hall: self.hall.clone(),
             age_ms: counted.get().map_or(0, |at| age_ms(now, at)),
-            counts: listed(&sum),
+            counts: to_target_counts(&sum),
         }
     }
 
@@ -296,13 +297,13 @@
 
     fn is_summed(&self, now: Instant, hall: &DataHall) -> bool {
         let sum = self.halls.get(hall);
-        sum.is_some_and(|h| now.since(h.at) < self.hall_expires)
+        sum.is_some_and(|h| now.since(h.at) < self.hall_ttl)
     }
 
     fn sum_others(&mut self, now: Instant) {
         self.summed_at = now;
         let mut others = std::mem::take(&mut self.others);
-        let mut counted = MeanMoment::default();
+        let mut counted = MeanTime::default();
         others.clear();
         for peer in self
             .peers
@@ -314,33 +315,34 @@
         }
         for (_, sum) in self.halls.iter().filter(|(h, _)| self.is_summed(now, h)) {
             add_counts(&mut others, &sum.counts);
-            counted.add(sum.counts.calls(), sum.counted);
+            counted.add(sum.counts.calls(), sum.counted_at);
         }
         if self.is_summed(now, &self.hall) {
             // The sum includes the counts that this router last sent.
-            for (target, work) in &self.own_told {
-                others.entry(*target).or_default().take(*work);
+            for (target, work) in &self.own_sent {
+                others.entry(*target).or_default().subtract(*work);
             }
         }
         self.others = others;
         self.others_counted = counted.get().unwrap_or(now);
-        self.average(now);
+        self.update_mean(now);
     }
 
     /// Updates the average number of calls with the counts of other routers.
-    fn average(&mut self, now: Instant) {
-        let elapsed = now.since(self.usual_at).as_secs_f64() / USUAL_OVER.as_secs_f64();
-        self.usual_at = now;
+    fn update_mean(&mut self, now: Instant) {
+        let elapsed =
+            now.since(self.mean_updated_at).as_secs_f64() / MEAN_TIME_CONSTANT.as_secs_f64();
+        self.mean_updated_at = now;
         let decay = (-elapsed).exp();
-        for (target, usual) in &mut self.usual {
+        for (target, usual) in &mut self.mean_others {
             let calls = self.others.get(target).map_or(0, |w| w.calls);
             *usual = f64::from(calls) * (1.0 - decay) + *usual * decay;
         }
         for (target, work) in &self.others {
             let calls = f64::from(work.calls);
-            self.usual.entry(*target).or_insert(calls);
+            self.mean_others.entry(*target).or_insert(calls);
         }
-        self.usual.retain(|_, usual| *usual > NEXT_TO_NONE);
+        self.mean_others.retain(|_, usual| *usual > MIN_MEAN_CALLS);
     }
 }
 
@@ -354,7 +356,7 @@
     }
 }
 
-fn listed(counts: &Counts) -> TargetCounts {
+fn to_target_counts(counts: &Counts) -> TargetCounts {
     let in_progress = counts.iter().filter(|(_, w)| w.calls > 0);
     in_progress.map(|(t, w)| (*t, *w)).collect()
 }
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -18,7 +18,7 @@
 };
 use crate::{
     ids::{DataHall, VmId},
-    placement::keepers,
+    placement::owners,
     units::Instant,
 };
 
@@ -84,9 +84,9 @@
     /// reader. The other group is the fallback while these have nothing recent.
     fn parent(&self, now: Instant) -> Option<SocketAddr> {
         let me = self.me.as_str();
-        let readers = keepers(me, self.named(now).into_iter(), usize::MAX);
+        let readers = owners(me, self.named(now).into_iter(), usize::MAX);
         let feeders = self.feeders_of(now, &self.hall);
-        let feeders = keepers(me, feeders.into_iter(), usize::MAX);
+        let feeders = owners(me, feeders.into_iter(), usize::MAX);
         let candidates = match feeders.contains(&&self.me) || readers.contains(&&self.me) {
             true => readers.into_iter().chain(feeders),
             false => feeders.into_iter().chain(readers),
@@ -112,7 +112,7 @@
         let (strong, weak): (Vec<_>, Vec<_>) = here.into_iter().partition(|r| r.1 >= minimum);
         let select = |routers: Vec<(_, _)>, n| {
             let names = routers.into_iter().map(|(vm, _)| vm);
-            keepers(FEEDERS_KEY, names, n)
+            owners(FEEDERS_KEY, names, n)
         };
         let mut feeders = select(strong, wanted);
         feeders.extend(select(weak, wanted - feeders.len()));
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     ids::{DataHall, VmId},
-    placement::keepers,
+    placement::owners,
     units::Instant,
 };
 
@@ -102,7 +102,7 @@
         let nth = strengths.get(n.saturating_sub(1)).copied();
         let minimum = strongest.half().min(nth.unwrap_or_default());
         all.retain(|(_, strength)| *strength >= minimum);
-        keepers(key, all.into_iter().map(|(vm, _)| vm), n)
+        owners(key, all.into_iter().map(|(vm, _)| vm), n)
     }
 
     /// Returns all live routers with their capacity class, this one included.
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -22,13 +22,13 @@
 use crate::{
     config::freshness::Vouch,
     ids::{DataHall, Incarnation, VmId},
-    load_account::PEER_EXPIRES,
-    placement::{keeper, keepers},
+    load_account::PEER_TTL,
+    placement::{owner, owners},
     units::Instant,
 };
 
 /// Silence up to which a peer counts as alive in a small fleet.
-const ALIVE_FOR: Duration = PEER_EXPIRES;
+const ALIVE_FOR: Duration = PEER_TTL;
 
 /// How long datagrams still go to the address of a silent peer, which may only be cut off.
 pub(super) const ADDRESS_KEPT: Duration = Duration::from_mins(1);
@@ -185,7 +185,7 @@
     /// Whether this router is one of the few that send a peer that joined the state of the fleet.
     pub fn is_teacher_of(&self, now: Instant, joined: &VmId) -> bool {
         let others = self.names(now).filter(|vm| *vm != joined);
-        keepers(joined.as_str(), others, TEACHERS).contains(&&self.me)
+        owners(joined.as_str(), others, TEACHERS).contains(&&self.me)
     }
 
     /// Whether this router has to send a peer that joined what it missed; if so, records that it
@@ -211,7 +211,7 @@
 
     /// Returns the address of the router that is the keeper of `thing`; `None` if it is this one.
     pub fn keeper_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
-        let keeper = keeper(key, self.names(now))?;
+        let keeper = owner(key, self.names(now))?;
         self.heard.get(keeper).map(|p| p.address)
     }
 
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -5,7 +5,7 @@
 use super::{peer::Peer, peers::Peers};
 use crate::{
     ids::VmId,
-    placement::keeper,
+    placement::owner,
     units::{Instant, StoreRevision},
 };
 
@@ -186,7 +186,7 @@
     /// routers over these peers.
     pub fn reader(&self, now: Instant) -> Option<SocketAddr> {
         let acting = self.acting(now, None);
-        let chosen = keeper(self.me.as_str(), acting.into_iter())?;
+        let chosen = owner(self.me.as_str(), acting.into_iter())?;
         self.heard.get(chosen).map(|p| p.address)
     }
 
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -11,28 +11,30 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::{call_plan::Plan, discovery::TargetRecord, ids::TargetId, prompt_cache::PromptCache};
+use crate::{
+    call_plan::CallPlan, discovery::TargetRecord, ids::TargetId, prompt_cache::PromptCache,
+};
 
 /// Number of targets of a service from which only a preselection of them is scored.
-pub(crate) const MANY_TARGETS: usize = 1_024;
+pub(crate) const PRESELECTION_THRESHOLD: usize = 1_024;
 
 /// Maximum number of targets considered because they hold parts of the prompt.
-const HOLDERS: usize = 32;
+const MAX_HOLDERS: usize = 32;
 
 /// Number of targets that the prompt's key selects: twice the number from which the first reader of a
 /// prompt is chosen.
-const NAMED: usize = 8;
+const TARGETS_PER_KEY: usize = 8;
 
 /// Number of targets sampled per call: the mean of their loads is off by at most a fifth when targets have
 /// a few calls each.
-const DRAWN: usize = 24;
+const SAMPLE_SIZE: usize = 24;
 
 /// Targets of a service ordered by a hash of their ids. A key selects the same few targets even when other
 /// targets join or leave.
 #[derive(Debug, Default)]
-pub(crate) struct Ring(Vec<(u64, Rc<TargetRecord>)>);
+pub(crate) struct HashRing(Vec<(u64, Rc<TargetRecord>)>);
 
-impl Ring {
+impl HashRing {
     /// Builds the ring from a list of targets.
     pub(crate) fn new(targets: &[Rc<TargetRecord>]) -> Self {
         let mut ring: Vec<_> = targets
@@ -61,7 +63,7 @@
     }
 
     /// Returns the `n`-th target that a key selects.
-    fn named(&self, key: u64, n: u64) -> Option<&Rc<TargetRecord>> {
+    fn nth_for_key(&self, key: u64, n: u64) -> Option<&Rc<TargetRecord>> {
         let at = xxh3_64_with_seed(&key.to_le_bytes(), n);
         let next = self.0.partition_point(|(hash, _)| *hash < at);
         let next = self.0.get(next).or_else(|| self.0.first());
@@ -77,17 +79,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct Candidates {
     /// Targets that hold parts of the prompt.
-    pub(crate) holding: Vec<Rc<TargetRecord>>,
+    pub(crate) holders: Vec<Rc<TargetRecord>>,
     /// Other targets, a sample that represents all targets of the service.
-    pub(crate) others: Vec<Rc<TargetRecord>>,
+    pub(crate) sample: Vec<Rc<TargetRecord>>,
 }
 
 impl Candidates {
     /// Selects the candidates of a service. `targets` are sorted by id.
     pub(crate) fn new(
         targets: &[Rc<TargetRecord>],
-        ring: &Ring,
-        plan: &Plan,
+        ring: &HashRing,
+        plan: &CallPlan,
         cache: &PromptCache,
     ) -> Self {
         // If no target holds the deepest shared part, only the targets selected by the key are used,
@@ -97,29 +99,32 @@
         let is_unread = deepest.is_some_and(|part| cache.holders(part.id).is_empty());
         let (holding, sample_size) = match is_unread {
             true => (Vec::new(), 0),
-            false => (holders(targets, plan, cache), DRAWN),
+            false => (holders(targets, plan, cache), SAMPLE_SIZE),
         };
-        let named = (0..NAMED as u64).filter_map(|n| ring.named(plan.key(), n));
-        let sampled = (0..sample_size as u64).filter_map(|n| ring.named(plan.hash, n));
+        let named = (0..TARGETS_PER_KEY as u64).filter_map(|n| ring.nth_for_key(plan.key(), n));
+        let sampled = (0..sample_size as u64).filter_map(|n| ring.nth_for_key(plan.hash, n));
         let mut others: Vec<Rc<TargetRecord>> = named.chain(sampled).cloned().collect();
         others.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         others.dedup_by(|a, b| a.id == b.id);
         others.retain(|t| !holding.iter().any(|held| held.id == t.id));
-        Self { holding, others }
+        Self {
+            holders: holding,
+            sample: others,
+        }
     }
 }
 
-/// Returns up to [`HOLDERS`] targets that hold parts of the prompt, holders of the deepest part first. If a
+/// Returns up to [`MAX_HOLDERS`] targets that hold parts of the prompt, holders of the deepest part first. If a
 /// part has more holders than are left to take, the call's hash selects among them.
 fn holders(
     targets: &[Rc<TargetRecord>],
-    plan: &Plan,
+    plan: &CallPlan,
     cache: &PromptCache,
 ) -> Vec<Rc<TargetRecord>> {
     let mut found: Vec<Rc<TargetRecord>> = Vec::new();
     for part in plan.prompt.iter().rev() {
         let holders = cache.holders(part.id);
-        let remaining = HOLDERS - found.len();
+        let remaining = MAX_HOLDERS - found.len();
         let first = match holders.len() > remaining {
             true => plan.hash as usize % holders.len(),
             false => 0,
@@ -132,7 +137,7 @@
                 found.push(Rc::clone(&targets[i]));
             }
         }
-        if found.len() >= HOLDERS {
+        if found.len() >= MAX_HOLDERS {
             break;
         }
     }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -22,10 +22,10 @@
 
 /// Cost of one token that the target has to read for this call: reading it again takes memory and slows
 /// down everything that runs there.
-const MISSING_WEIGHT: f64 = 3.0;
+const UNREAD_TOKEN_WEIGHT: f64 = 3.0;
 
 /// Cost of one token that the target copies from another target's memory: a seventh of reading it.
-const FETCH_WEIGHT: f64 = 2.0;
+const FETCHED_TOKEN_WEIGHT: f64 = 2.0;
 
 /// Cost of one token that the target still has to read for other calls: prompts are read in turns, so this
 /// call waits for only a part of them.
@@ -33,43 +33,43 @@
 
 /// Cost of one running call at a target, in tokens: each call makes the steps of all others about a
 /// twentieth longer, for about fifty steps, which take as long as reading a thousand tokens in all.
-const CALL_TOKENS: f64 = 250.0;
+const RUNNING_CALL_TOKENS: f64 = 250.0;
 
 /// Cost of a target in another data hall, in calls. It only breaks ties between otherwise equal targets.
-const FAR_CALLS: f64 = 0.25;
+const REMOTE_HALL_CALLS: f64 = 0.25;
 
 /// Factor for the tokens that a target has to read for a chat: later turns of the chat either return to the
 /// same target or have the chat read again elsewhere. With factors 1, 2, 4 and 8 the replay
 /// (tests/replay.rs) reuses 0.97, 0.991, 0.995 and 0.995 on the calm trace, with up to 1.42, 1.51, 1.57 and
 /// 1.59 times the mean load at one engine.
-const CHAT_TURNS: f64 = 2.0;
+const CHAT_TOKEN_FACTOR: f64 = 2.0;
 
 /// Fraction of the distance between the load bound and the mean that is used. The rest allows for counts of
 /// other routers that are slightly out of date.
-const BOUND_PART: f64 = 0.4;
+const BOUND_FRACTION: f64 = 0.4;
 
 /// Calls above the bound that are always allowed: a relative bound is meaningless for few calls.
-const BOUND_SLACK: f64 = 2.5;
+const BOUND_SLACK_CALLS: f64 = 2.5;
 
 /// Prompt tokens above the mean that a target may have cached before new prompts go to other targets: half
 /// of the longest usual prompt.
-const KEPT_SLACK: f64 = 6_000.0;
+const CACHED_SLACK_TOKENS: f64 = 6_000.0;
 
 /// Margin by which calls may exceed a target's limit when counts are old, in standard deviations of the
 /// counts. With 0, 0.5 and 1, a plain service at nine tenths of its capacity answers 0.91, 0.99 and 0.99 of
 /// its calls in time; engines at three times their capacity answer 0.060, 0.057 and 0.045
 /// (`tests/load/stale_counts.rs`, 295 routers).
-const LIMIT_SLACK: f64 = 0.5;
+const LIMIT_SLACK_DEVIATIONS: f64 = 0.5;
 
 /// Number of targets from which the first reader of a prompt is chosen.
-const READERS_NAMED: usize = 4;
+const FIRST_READER_CANDIDATES: usize = 4;
 
 /// Calls above the mean that a target may have before new prompts go to other targets.
-const CALLS_SLACK: f64 = 2.0;
+const FIRST_READER_SLACK_CALLS: f64 = 2.0;
 
 /// State of a target as seen by the call that is being placed.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct TargetView {
     /// Id of the target.
     pub target: TargetId,
     /// Health of the target as estimated by this router.
@@ -83,24 +83,24 @@
     /// Tokens out of `missing` that the target can copy from another target's memory.
     pub fetchable: Tokens,
     /// Whether the target has read the deepest shared part of the prompt.
-    pub holds: bool,
+    pub has_read: bool,
     /// Prompt tokens that the target is assumed to have cached.
-    pub kept: Tokens,
+    pub cached_tokens: Tokens,
     /// Number of calls that the target processes at once.
     pub slots: u32,
     /// Maximum number of calls in progress at the target, including this one.
-    pub most_calls: u32,
+    pub max_calls: u32,
     /// Maximum number of tokens in progress at the target; `None` if unlimited.
-    pub most_tokens: Option<Tokens>,
+    pub max_tokens: Option<Tokens>,
     /// How far the target has warmed up, which decides whether it may get calls.
     pub warmth: Warmth,
     /// Whether the target is in this router's data hall.
-    pub near: bool,
+    pub in_local_hall: bool,
     /// Whether this call was sent to the target before.
     pub tried: bool,
 }
 
-impl Offer {
+impl TargetView {
     fn calls(&self) -> u32 {
         self.counts.all()
     }
@@ -109,14 +109,14 @@
         Load {
             counts: self.counts,
             slots: self.slots,
-            most_calls: self.most_calls,
+            max_calls: self.max_calls,
         }
     }
 }
 
 /// Properties of a call that decide which target it gets.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted {
+pub struct PlacementRequest {
     /// Hash of the chat if there is one, else of the deepest shared part of the prompt, else of the call.
     pub key: u64,
     /// Hash of the call's own id.
@@ -124,7 +124,7 @@
     /// Fraction of the calls counted by other routers that is still in progress.
     pub survival: Survival,
     /// Whether the prompt has a shared part and the call belongs to no chat.
-    pub shared: bool,
+    pub has_shared_prompt: bool,
     /// Whether the call belongs to a chat, whose later turns will follow.
     pub is_chat: bool,
     /// Whether the call's account sends many times its usual rate.
@@ -134,10 +134,10 @@
     /// Maximum load of a target, as a multiple of the mean load.
     pub cap_factor: f64,
     /// Mean load of all targets in calls per slot, if only some of the targets are scored.
-    pub calls_a_slot: Option<f64>,
+    pub calls_per_slot: Option<f64>,
 }
 
-impl Wanted {
+impl PlacementRequest {
     /// Returns the offset added to counts for this call, from -1 to 1 of their standard deviation. With old
     /// counts, it lets gradually fewer calls find room as targets fill up, instead of all calls or none
     /// until the next counts arrive.
@@ -151,8 +151,8 @@
     /// fewer than the error of the counts.
     fn limit_slack(&self) -> f64 {
         match self.surge {
-            Surge::None => LIMIT_SLACK,
-            Surge::LetIn(_) => -LIMIT_SLACK,
+            Surge::None => LIMIT_SLACK_DEVIATIONS,
+            Surge::LetIn(_) => -LIMIT_SLACK_DEVIATIONS,
         }
     }
 
@@ -160,8 +160,8 @@
     /// the call. For other targets it depends on the prompt, so that routers that do not know of each
     /// other's choices copy the prompt to the same targets. For a chat it always depends on the chat,
     /// because its next turns look for the prompt at that target.
-    fn draw(&self, o: &Offer) -> u64 {
-        match o.holds && !self.is_chat {
+    fn target_hash(&self, o: &TargetView) -> u64 {
+        match o.has_read && !self.is_chat {
             true => draw(self.call, &o.target),
             false => draw(self.key, &o.target),
         }
@@ -170,7 +170,7 @@
 
 /// Reason why no target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoChoice {
+pub enum PlacementError {
     /// The service has no target left to which this call was not sent yet.
     NoTarget,
     /// All targets have reached their maximum number of calls.
@@ -190,42 +190,42 @@
 
 /// Returns the index of the chosen target: a warm target, or if none has room, a cold target of which this
 /// router has a share.
-pub fn choose(options: &[Offer], wanted: &Wanted) -> Result<usize, NoChoice> {
-    choose_beside(options, options, wanted)
+pub fn choose(options: &[TargetView], wanted: &PlacementRequest) -> Result<usize, PlacementError> {
+    choose_with_sample(options, options, wanted)
 }
 
 /// Chooses among `options` when they are only a few of very many targets. The load bound is computed from
 /// `sample`, which represents all targets, because the mean load of the targets that hold the prompt is not
 /// the mean of all.
-pub(crate) fn choose_beside(
-    options: &[Offer],
-    sample: &[Offer],
-    wanted: &Wanted,
-) -> Result<usize, NoChoice> {
-    let all: Vec<(usize, &Offer)> = options.iter().enumerate().collect();
-    let untried: Vec<(usize, &Offer)> = all.iter().filter(|o| !o.1.tried).copied().collect();
+pub(crate) fn choose_with_sample(
+    options: &[TargetView],
+    sample: &[TargetView],
+    wanted: &PlacementRequest,
+) -> Result<usize, PlacementError> {
+    let all: Vec<(usize, &TargetView)> = options.iter().enumerate().collect();
+    let untried: Vec<(usize, &TargetView)> = all.iter().filter(|o| !o.1.tried).copied().collect();
     if untried.is_empty() {
-        return Err(NoChoice::NoTarget);
+        return Err(PlacementError::NoTarget);
     }
     let with_warmth = |warmth: Warmth| {
         let matching = untried.iter().filter(|o| o.1.warmth == warmth);
         matching.copied().collect::<Vec<_>>()
     };
-    let loads: Vec<Load> = sample.iter().map(Offer::load).collect();
+    let loads: Vec<Load> = sample.iter().map(TargetView::load).collect();
     let estimate = Estimate::new(&loads, wanted.survival);
     let bound = Bound::new(sample, wanted, estimate);
-    let mut chosen = Err(NoChoice::AllCold);
+    let mut chosen = Err(PlacementError::AllCold);
     for available in [with_warmth(Warmth::Warm), with_warmth(Warmth::Shared)] {
         let with_room = match available.is_empty() {
             true => continue,
-            false => roomy(&available, wanted, &bound),
+            false => filter_with_room(&available, wanted, &bound),
         };
         let with_room = match with_room.is_empty() {
-            true => self::roomy(&available, wanted, &bound.of_estimates(sample)),
+            true => self::filter_with_room(&available, wanted, &bound.with_estimates(sample)),
             false => with_room,
         };
         chosen = match with_room.is_empty() {
-            true => Err(NoChoice::AllFull),
+            true => Err(PlacementError::AllFull),
             false => return Ok(best(&with_room, wanted, estimate)),
         };
     }
@@ -233,13 +233,13 @@
 }
 
 /// Returns the targets with room: only healthy ones if any of these has room, else all.
-fn roomy<'a>(
-    available: &[(usize, &'a Offer)],
-    wanted: &Wanted,
+fn filter_with_room<'a>(
+    available: &[(usize, &'a TargetView)],
+    wanted: &PlacementRequest,
     bound: &Bound,
-) -> Vec<(usize, &'a Offer)> {
+) -> Vec<(usize, &'a TargetView)> {
     let standing = best_standing(available, wanted.repeatable);
-    let has_room = |o: &&(usize, &Offer)| bound.has_room(o.1);
+    let has_room = |o: &&(usize, &TargetView)| bound.has_room(o.1);
     let sound = available.iter().filter(|o| o.1.standing <= standing);
     let with_room: Vec<_> = sound.filter(has_room).copied().collect();
     match with_room.is_empty() {
@@ -258,21 +258,21 @@
     /// Number of calls added to a target's load for this call; may be negative.
     shift: f64,
     /// Mean number of calls accepted beyond a target's limit.
-    more: f64,
+    limit_excess: f64,
 }
 
 impl Bound {
-    fn new(options: &[Offer], wanted: &Wanted, estimate: Estimate) -> Self {
+    fn new(options: &[TargetView], wanted: &PlacementRequest, estimate: Estimate) -> Self {
         let calls: f64 = options.iter().map(|o| f64::from(o.calls())).sum();
         let slots: f64 = options.iter().map(|o| f64::from(o.slots)).sum();
-        let factor = 1.0 + (wanted.cap_factor - 1.0) * BOUND_PART;
-        let mean = wanted.calls_a_slot.unwrap_or(calls / slots.max(1.0));
+        let factor = 1.0 + (wanted.cap_factor - 1.0) * BOUND_FRACTION;
+        let mean = wanted.calls_per_slot.unwrap_or(calls / slots.max(1.0));
         Self {
             calls_a_slot: mean * factor,
             factor,
             estimate,
             shift: wanted.shift() * estimate.deviation(),
-            more: wanted.limit_slack() * estimate.deviation(),
+            limit_excess: wanted.limit_slack() * estimate.deviation(),
         }
     }
 
@@ -280,7 +280,7 @@
     /// when no target has room by the last counts, because not all targets can be far above their mean.
     /// Without it, 0.16 to 0.85 of the calls in the second after a peak are refused while targets are idle
     /// (`tests/load/lock_out.rs`, 7 to 380 routers).
-    fn of_estimates(&self, options: &[Offer]) -> Self {
+    fn with_estimates(&self, options: &[TargetView]) -> Self {
         let calls: f64 = options.iter().map(|o| self.estimate.calls(o.load())).sum();
         let slots: f64 = options.iter().map(|o| f64::from(o.slots)).sum();
         Self {
@@ -289,20 +289,20 @@
         }
     }
 
-    fn has_room(&self, o: &Offer) -> bool {
-        let max_calls = self.calls_a_slot * f64::from(o.slots) + BOUND_SLACK;
+    fn has_room(&self, o: &TargetView) -> bool {
+        let max_calls = self.calls_a_slot * f64::from(o.slots) + BOUND_SLACK_CALLS;
         let work = Tokens(o.backlog.0 + o.missing.0);
         let relative_load = self.estimate.calls(o.load()) + self.shift;
-        let own_load = self.estimate.calls_spread(o.load()) + self.shift - self.more;
+        let own_load = self.estimate.calls_if_spread(o.load()) + self.shift - self.limit_excess;
         relative_load < max_calls
-            && (own_load < f64::from(o.most_calls) || o.calls() == 0)
+            && (own_load < f64::from(o.max_calls) || o.calls() == 0)
             // A target without calls always accepts one.
-            && (o.calls() == 0 || o.most_tokens.is_none_or(|max_tokens| work <= max_tokens))
+            && (o.calls() == 0 || o.max_tokens.is_none_or(|max_tokens| work <= max_tokens))
     }
 }
 
 /// Returns the best standing among the targets, or `OnTrial` for calls that may try a suspect target.
-fn best_standing(available: &[(usize, &Offer)], repeatable: bool) -> Standing {
+fn best_standing(available: &[(usize, &TargetView)], repeatable: bool) -> Standing {
     let best = available.iter().map(|o| o.1.standing).min();
     match best.unwrap_or_default() {
         Standing::Well | Standing::Full if repeatable && on_trial(available) => Standing::OnTrial,
@@ -310,13 +310,17 @@
     }
 }
 
-fn on_trial(available: &[(usize, &Offer)]) -> bool {
+fn on_trial(available: &[(usize, &TargetView)]) -> bool {
     available.iter().any(|o| o.1.standing == Standing::OnTrial)
 }
 
-fn best(with_room: &[(usize, &Offer)], wanted: &Wanted, estimate: Estimate) -> usize {
-    let is_unread = !with_room.iter().any(|o| o.1.holds);
-    match is_unread && wanted.shared {
+fn best(
+    with_room: &[(usize, &TargetView)],
+    wanted: &PlacementRequest,
+    estimate: Estimate,
+) -> usize {
+    let is_unread = !with_room.iter().any(|o| o.1.has_read);
+    match is_unread && wanted.has_shared_prompt {
         true => first_reader(with_room, wanted),
         false => cheapest(with_room, wanted, estimate),
     }
@@ -327,27 +331,35 @@
 ///
 /// The number is small but more than one because many routers choose before they learn of each other's
 /// choices: prompts with the same beginning must not all go to one target.
-fn first_reader(with_room: &[(usize, &Offer)], wanted: &Wanted) -> usize {
+fn first_reader(with_room: &[(usize, &TargetView)], wanted: &PlacementRequest) -> usize {
     let n = with_room.len() as f64;
-    let mean_cached = with_room.iter().map(|o| o.1.kept.0 as f64).sum::<f64>() / n;
+    let mean_cached = with_room
+        .iter()
+        .map(|o| o.1.cached_tokens.0 as f64)
+        .sum::<f64>()
+        / n;
     let calls = with_room
         .iter()
         .map(|o| f64::from(o.1.calls()))
         .sum::<f64>()
         / n;
-    let cost = |o: &Offer| {
-        let excess_cached = (o.kept.0 as f64 - mean_cached - KEPT_SLACK).max(0.0);
-        let excess_calls = (f64::from(o.calls()) - calls - CALLS_SLACK).max(0.0);
-        o.missing.0 as f64 + o.backlog.0 as f64 + excess_cached + excess_calls * CALL_TOKENS
+    let cost = |o: &TargetView| {
+        let excess_cached = (o.cached_tokens.0 as f64 - mean_cached - CACHED_SLACK_TOKENS).max(0.0);
+        let excess_calls = (f64::from(o.calls()) - calls - FIRST_READER_SLACK_CALLS).max(0.0);
+        o.missing.0 as f64 + o.backlog.0 as f64 + excess_cached + excess_calls * RUNNING_CALL_TOKENS
     };
     let mut candidates = with_room.to_vec();
     candidates.sort_unstable_by_key(|o| std::cmp::Reverse(draw(wanted.key, &o.1.target)));
-    candidates.truncate(READERS_NAMED);
-    least(&candidates, wanted.key, cost)
+    candidates.truncate(FIRST_READER_CANDIDATES);
+    lowest_cost(&candidates, wanted.key, cost)
 }
 
 /// Chooses one of the cheapest targets at random, with a probability that depends on its room.
-fn cheapest(with_room: &[(usize, &Offer)], wanted: &Wanted, estimate: Estimate) -> usize {
+fn cheapest(
+    with_room: &[(usize, &TargetView)],
+    wanted: &PlacementRequest,
+    estimate: Estimate,
+) -> usize {
     let loads: Vec<Load> = with_room.iter().map(|o| o.1.load()).collect();
     let spread = Spread::new(&loads, estimate);
     let costs: Vec<f64> = with_room
@@ -355,9 +367,9 @@
         .map(|o| cost(o.1, wanted, &spread))
         .collect();
     let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
-    let score = |(o, cost): (&(usize, &Offer), &f64)| {
-        let chance = spread.chance(o.1.load(), cost - least);
-        (chance + gumbel(wanted.draw(o.1)), o.0)
+    let score = |(o, cost): (&(usize, &TargetView), &f64)| {
+        let chance = spread.log_weight(o.1.load(), cost - least);
+        (chance + gumbel(wanted.target_hash(o.1)), o.0)
     };
     let scores = with_room.iter().zip(&costs).map(score);
     scores
@@ -366,8 +378,12 @@
 }
 
 /// Returns the index of the target with the lowest cost; rendezvous hashing on `key` breaks ties.
-fn least(with_room: &[(usize, &Offer)], key: u64, cost: impl Fn(&Offer) -> f64) -> usize {
-    let by_cost = |a: &&(usize, &Offer), b: &&(usize, &Offer)| {
+fn lowest_cost(
+    with_room: &[(usize, &TargetView)],
+    key: u64,
+    cost: impl Fn(&TargetView) -> f64,
+) -> usize {
+    let by_cost = |a: &&(usize, &TargetView), b: &&(usize, &TargetView)| {
         let tie = || draw(key, &b.1.target).cmp(&draw(key, &a.1.target));
         cost(a.1).total_cmp(&cost(b.1)).then_with(tie)
     };
@@ -375,14 +391,22 @@
 }
 
 /// Computes the cost of a target, in calls.
-fn cost(option: &Offer, wanted: &Wanted, spread: &Spread) -> f64 {
-    let far = if option.near { 0.0 } else { FAR_CALLS };
+fn cost(option: &TargetView, wanted: &PlacementRequest, spread: &Spread) -> f64 {
+    let far = if option.in_local_hall {
+        0.0
+    } else {
+        REMOTE_HALL_CALLS
+    };
     let unread = option.missing.less(option.fetchable);
-    let turns = if wanted.is_chat { CHAT_TURNS } else { 1.0 };
-    let tokens = unread.0 as f64 * MISSING_WEIGHT * turns
-        + option.fetchable.0 as f64 * FETCH_WEIGHT
+    let turns = if wanted.is_chat {
+        CHAT_TOKEN_FACTOR
+    } else {
+        1.0
+    };
+    let tokens = unread.0 as f64 * UNREAD_TOKEN_WEIGHT * turns
+        + option.fetchable.0 as f64 * FETCHED_TOKEN_WEIGHT
         + option.backlog.0 as f64 * BACKLOG_WEIGHT;
-    tokens / CALL_TOKENS + far + spread.above(option.load())
+    tokens / RUNNING_CALL_TOKENS + far + spread.calls_above_level(option.load())
 }
 
 /// Converts a hash to a Gumbel-distributed value. Adding such a value to the logarithm of each weight and
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -13,13 +13,13 @@
 use crate::ids::VmId;
 
 /// Returns the router among `vms` that is responsible for `thing`, or `None` if `vms` is empty.
-pub fn keeper<'a>(thing: &str, vms: impl Iterator<Item = &'a VmId>) -> Option<&'a VmId> {
+pub fn owner<'a>(thing: &str, vms: impl Iterator<Item = &'a VmId>) -> Option<&'a VmId> {
     let key = xxh3_64(thing.as_bytes());
     vms.max_by(|a, b| compare(key, a, b))
 }
 
 /// Returns the `n` routers among `vms` that are jointly responsible for `thing`, highest hash first.
-pub fn keepers<'a>(thing: &str, vms: impl Iterator<Item = &'a VmId>, n: usize) -> Vec<&'a VmId> {
+pub fn owners<'a>(thing: &str, vms: impl Iterator<Item = &'a VmId>, n: usize) -> Vec<&'a VmId> {
     let key = xxh3_64(thing.as_bytes());
     let mut all: Vec<_> = vms.collect();
     all.sort_unstable_by(|a, b| compare(key, b, a));
--- a/src/placement/spread.rs
+++ b/src/placement/spread.rs
@@ -22,7 +22,7 @@
 
 /// Minimum standard deviation, in calls. Exact counts have a deviation of zero; with this minimum the
 /// cheapest target is chosen then.
-const LEAST_DEVIATION: f64 = 1e-6;
+const MIN_DEVIATION: f64 = 1e-6;
 
 /// Multiple of the median load of its service's targets above which a target's calls count as hung. It is
 /// more than the load bound allows any target to have.
@@ -59,7 +59,7 @@
     pub(super) counts: CallCounts,
     pub(super) slots: u32,
     /// Maximum number of calls at the target.
-    pub(super) most_calls: u32,
+    pub(super) max_calls: u32,
 }
 
 /// Sums the calls of targets without the hung calls at a target: those that exceed both its limit and
@@ -67,12 +67,12 @@
 /// they are included all targets seem full: with one of three targets cut off, 0.4 of the calls for which
 /// the other two had room were refused (295 routers, `tests/load/lock_out.rs`).
 fn sum_without_hung(loads: &[Load], calls: impl Fn(&Load) -> f64) -> f64 {
-    let is_beyond = |l: &Load| calls(l) > f64::from(l.most_calls);
+    let is_beyond = |l: &Load| calls(l) > f64::from(l.max_calls);
     if !loads.iter().any(is_beyond) {
         return loads.iter().map(calls).sum();
     }
     let median_calls = median(loads.iter().map(&calls).collect());
-    let cap = |l: &Load| f64::from(l.most_calls).max(median_calls * HUNG_FACTOR);
+    let cap = |l: &Load| f64::from(l.max_calls).max(median_calls * HUNG_FACTOR);
     loads.iter().map(|l| calls(l).min(cap(l))).sum()
 }
 
@@ -90,7 +90,7 @@
 pub(super) struct Estimate {
     survival: Survival,
     /// Average number of calls per slot that other routers have at the service's targets.
-    usual: f64,
+    mean_others: f64,
     /// Standard deviation of a target's number of calls, in calls.
     deviation: f64,
 }
@@ -99,7 +99,7 @@
     /// Computes the estimate from the counts of all targets of a service.
     pub(super) fn new(loads: &[Load], survival: Survival) -> Self {
         let others = sum_without_hung(loads, |l| f64::from(l.counts.others));
-        let usual = sum_without_hung(loads, |l| l.counts.usual);
+        let usual = sum_without_hung(loads, |l| l.counts.mean_others);
         let slots: f64 = loads.iter().map(|l| f64::from(l.slots)).sum();
         // The calls that remain of those counted follow a binomial distribution, the new calls a Poisson
         // distribution.
@@ -107,7 +107,7 @@
         let variance = mean * (1.0 - survival.0 * survival.0);
         Self {
             survival,
-            usual: usual / slots.max(1.0),
+            mean_others: usual / slots.max(1.0),
             deviation: variance.sqrt(),
         }
     }
@@ -115,13 +115,13 @@
     /// Estimates the calls at a target if routers keep sending as before: the counted calls that remain,
     /// and in place of those that ended the target's own average.
     pub(super) fn calls(&self, load: Load) -> f64 {
-        self.kept(load) + self.came(load.counts.usual)
+        self.kept(load) + self.new_calls(load.counts.mean_others)
     }
 
     /// Estimates the calls at a target if routers send to all targets alike: the counted calls that remain,
     /// and in place of those that ended the average of the service's targets.
-    pub(super) fn calls_spread(&self, load: Load) -> f64 {
-        self.kept(load) + self.came(self.usual * f64::from(load.slots))
+    pub(super) fn calls_if_spread(&self, load: Load) -> f64 {
+        self.kept(load) + self.new_calls(self.mean_others * f64::from(load.slots))
     }
 
     fn kept(&self, load: Load) -> f64 {
@@ -129,7 +129,7 @@
         f64::from(counts.own) + self.survival.of(f64::from(counts.others))
     }
 
-    fn came(&self, usual: f64) -> f64 {
+    fn new_calls(&self, usual: f64) -> f64 {
         usual - self.survival.of(usual)
     }
 
@@ -141,9 +141,9 @@
     /// Estimates the calls at a target before other routers send new ones: the counted calls that remain,
     /// and the amount by which the target's average exceeds its service's mean, because it is slow or holds
     /// what many calls ask for.
-    fn left(&self, load: Load) -> f64 {
-        let beyond = load.counts.usual - self.usual * f64::from(load.slots);
-        self.kept(load) + self.came(beyond.max(0.0))
+    fn calls_before_new(&self, load: Load) -> f64 {
+        let beyond = load.counts.mean_others - self.mean_others * f64::from(load.slots);
+        self.kept(load) + self.new_calls(beyond.max(0.0))
     }
 }
 
@@ -160,7 +160,9 @@
     pub(super) fn new(loads: &[Load], estimate: Estimate) -> Self {
         let others: f64 = loads.iter().map(|l| f64::from(l.counts.others)).sum();
         let new_calls = others - estimate.survival.of(others);
-        let left = loads.iter().map(|l| (estimate.left(*l), l.slots));
+        let left = loads
+            .iter()
+            .map(|l| (estimate.calls_before_new(*l), l.slots));
         Self {
             estimate,
             level: level(left.collect(), new_calls),
@@ -168,20 +170,20 @@
     }
 
     /// Returns the number of calls above the level, which is added to the target's cost.
-    pub(super) fn above(&self, load: Load) -> f64 {
-        -self.below(load).min(0.0)
+    pub(super) fn calls_above_level(&self, load: Load) -> f64 {
+        -self.room_below_level(load).min(0.0)
     }
 
     /// Returns the logarithm of a target's selection weight. `excess` is its cost above the cheapest
     /// target, in calls.
-    pub(super) fn chance(&self, load: Load, excess: f64) -> f64 {
-        let deviation = self.estimate.deviation.max(LEAST_DEVIATION);
-        let room = self.below(load).max(0.0) + ROOM_AT_LEVEL * deviation;
+    pub(super) fn log_weight(&self, load: Load, excess: f64) -> f64 {
+        let deviation = self.estimate.deviation.max(MIN_DEVIATION);
+        let room = self.room_below_level(load).max(0.0) + ROOM_AT_LEVEL * deviation;
         room.ln() - excess / deviation
     }
 
-    fn below(&self, load: Load) -> f64 {
-        self.level * f64::from(load.slots) - self.estimate.left(load)
+    fn room_below_level(&self, load: Load) -> f64 {
+        self.level * f64::from(load.slots) - self.estimate.calls_before_new(load)
     }
 }
 
--- a/src/pools.rs
+++ b/src/pools.rs
@@ -9,10 +9,10 @@
 };
 
 use crate::{
-    call_plan::Plan,
+    call_plan::CallPlan,
     ids::{ServiceName, TargetId},
     load_account::LoadAccount,
-    placement::candidates::{Candidates, MANY_TARGETS, Ring},
+    placement::candidates::{Candidates, HashRing, PRESELECTION_THRESHOLD},
     prompt_cache::PromptCache,
     target_counts::TargetHash,
     target_record::TargetRecord,
@@ -23,7 +23,7 @@
 struct Pool {
     /// Sorted by id.
     targets: Vec<Rc<TargetRecord>>,
-    ring: Ring,
+    ring: HashRing,
     /// Hashes of the target ids, which are the keys of call counts.
     hashes: HashSet<TargetHash>,
     /// Number of requests that all targets together process at once.
@@ -31,12 +31,12 @@
 }
 
 impl Pool {
-    fn place(&self, id: &TargetId) -> Result<usize, usize> {
+    fn position(&self, id: &TargetId) -> Result<usize, usize> {
         self.targets.binary_search_by(|t| t.id.cmp(id))
     }
 
     fn add(&mut self, target: &Rc<TargetRecord>) {
-        match self.place(&target.id) {
+        match self.position(&target.id) {
             Ok(i) => {
                 self.slots -= u64::from(self.targets[i].slots);
                 self.targets[i] = Rc::clone(target);
@@ -49,7 +49,7 @@
     }
 
     fn take(&mut self, id: &TargetId) {
-        let Ok(i) = self.place(id) else {
+        let Ok(i) = self.position(id) else {
             return;
         };
         let removed = self.targets.remove(i);
@@ -75,7 +75,7 @@
         }
         for pool in self.0.values_mut() {
             pool.targets.sort_by(|a, b| a.id.cmp(&b.id));
-            pool.ring = Ring::new(&pool.targets);
+            pool.ring = HashRing::new(&pool.targets);
             pool.hashes = pool.targets.iter().map(|t| (&t.id).into()).collect();
             pool.slots = pool.targets.iter().map(|t| u64::from(t.slots)).sum();
         }
@@ -106,18 +106,18 @@
 
     /// Returns the preselected targets of a call's service if it has very many; `None` if all are to be
     /// scored.
-    pub(crate) fn candidates(&self, plan: &Plan, cache: &PromptCache) -> Option<Candidates> {
+    pub(crate) fn candidates(&self, plan: &CallPlan, cache: &PromptCache) -> Option<Candidates> {
         let pool = self.0.get(&plan.service)?;
         // For a chat all targets are scored: peers are not notified of what its target of first choice has
         // read, so that target has to be found by hashing over all.
-        if pool.targets.len() < MANY_TARGETS || plan.chat.is_some() {
+        if pool.targets.len() < PRESELECTION_THRESHOLD || plan.chat.is_some() {
             return None;
         }
         Some(Candidates::new(&pool.targets, &pool.ring, plan, cache))
     }
 
     /// Returns the mean load of a service's targets in calls per slot, from the counts of their calls.
-    pub(crate) fn calls_a_slot(&self, service: &ServiceName, load: &LoadAccount) -> Option<f64> {
+    pub(crate) fn calls_per_slot(&self, service: &ServiceName, load: &LoadAccount) -> Option<f64> {
         let pool = self.0.get(service)?;
         let calls = load.calls_at(|target| pool.hashes.contains(target));
         Some(f64::from(calls) / pool.slots.max(1) as f64)
--- a/src/prompt_cache.rs
+++ b/src/prompt_cache.rs
@@ -26,40 +26,40 @@
 }
 
 /// Fraction of a target's memory that is assumed to cache prompts; the rest is for running calls.
-const KEPT_SHARE: f64 = 0.8;
+const CACHE_FRACTION: f64 = 0.8;
 
 /// Maximum number of parts remembered per target: parts that belong to a single session come and go.
-const PARTS_LIMIT: usize = 4_096;
+const MAX_PARTS_PER_TARGET: usize = 4_096;
 
 /// Maximum number of parts queued to be sent to peers: as many as a busy router announces in some seconds.
 /// When the queue is full, the oldest are dropped, and are read again by targets that no router knows to
 /// hold them.
-const NEWS_LIMIT: usize = 4_096;
+const MAX_ANNOUNCEMENTS: usize = 4_096;
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct CachedPart {
     tokens: Tokens,
     shared: bool,
 }
 
 #[derive(Debug)]
-struct Memory {
-    parts: LruCache<PartId, Held>,
+struct TargetCache {
+    parts: LruCache<PartId, CachedPart>,
     tokens: Tokens,
 }
 
 /// A prompt part that is new at a target, with its length.
-pub type News = (PartId, Tokens, TargetId);
+pub type PartLocation = (PartId, Tokens, TargetId);
 
 /// Prompt parts that all targets are assumed to have cached.
 #[derive(Debug, Default)]
 pub struct PromptCache {
-    targets: HashMap<TargetId, Memory>,
+    targets: HashMap<TargetId, TargetCache>,
     /// Targets that have read each part.
     holders: HashMap<PartId, Vec<TargetId>>,
-    news: VecDeque<News>,
+    announcements: VecDeque<PartLocation>,
     /// Parts announced to peers while this router was young, to be announced once more.
-    told: Vec<News>,
+    announced: Vec<PartLocation>,
     unsaved: bool,
     unlisted: HashSet<TargetId>,
 }
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether a target has read a part.
-    pub fn holds(&self, target: &TargetId, part: PartId) -> bool {
+    pub fn has_read(&self, target: &TargetId, part: PartId) -> bool {
         let memory = self.targets.get(target);
         memory.is_some_and(|m| m.parts.contains(&part))
     }
@@ -100,22 +100,23 @@
         let memory = self.targets.entry(target.clone()).or_default();
         for (i, part) in prompt.iter().enumerate() {
             let is_announced = i < announced;
-            let is_new = memory.hold(*part, is_announced);
+            let is_new = memory.insert(*part, is_announced);
             if is_new {
                 let holders = self.holders.entry(part.id).or_default();
                 holders.push(target.clone());
             }
             if is_new && is_announced {
-                self.news.push_back((part.id, part.tokens, target.clone()));
+                self.announcements
+                    .push_back((part.id, part.tokens, target.clone()));
                 self.unsaved = true;
             }
         }
-        let dropped = memory.trim(memory_tokens);
+        let dropped = memory.evict(memory_tokens);
         for part in dropped {
             drop_holder(&mut self.holders, part, target);
         }
-        while self.news.len() > NEWS_LIMIT {
-            self.news.pop_front();
+        while self.announcements.len() > MAX_ANNOUNCEMENTS {
+            self.announcements.pop_front();
         }
     }
 
@@ -123,14 +124,15 @@
     /// it to other peers.
     pub fn on_peer(&mut self, target: &TargetId, part: PromptPart, forward: bool) {
         let memory = self.targets.entry(target.clone()).or_default();
-        let is_new = memory.hold(part, true);
+        let is_new = memory.insert(part, true);
         self.unsaved |= is_new;
         if is_new {
             let holders = self.holders.entry(part.id).or_default();
             holders.push(target.clone());
         }
         if is_new && forward {
-            self.news.push_back((part.id, part.tokens, target.clone()));
+            self.announcements
+                .push_back((part.id, part.tokens, target.clone()));
         }
     }
 
@@ -168,25 +170,26 @@
     }
 
     /// Takes up to `limit` new parts from the queue, to announce them to peers. A router that is `young`
-    /// remembers them for [`Self::tell_again`].
-    pub fn take_news(&mut self, limit: usize, young: bool) -> Vec<News> {
-        let n = self.news.len().min(limit);
-        let news: Vec<News> = self.news.drain(..n).collect();
-        if young && self.told.len() < NEWS_LIMIT {
-            self.told.extend_from_slice(&news);
+    /// remembers them for [`Self::announce_again`].
+    pub fn take_announcements(&mut self, limit: usize, young: bool) -> Vec<PartLocation> {
+        let n = self.announcements.len().min(limit);
+        let news: Vec<PartLocation> = self.announcements.drain(..n).collect();
+        if young && self.announced.len() < MAX_ANNOUNCEMENTS {
+            self.announced.extend_from_slice(&news);
         }
         news
     }
 
     /// Queues the parts announced so far once more: routers that started together did not know each other
     /// yet.
-    pub fn tell_again(&mut self) {
-        self.news.extend(std::mem::take(&mut self.told));
+    pub fn announce_again(&mut self) {
+        self.announcements
+            .extend(std::mem::take(&mut self.announced));
     }
 
     /// Returns all shared parts, least recently used first, for a peer that has just started.
-    pub fn shared_parts(&self) -> Vec<News> {
-        let of_target = |(target, memory): (&TargetId, &Memory)| {
+    pub fn shared_parts(&self) -> Vec<PartLocation> {
+        let of_target = |(target, memory): (&TargetId, &TargetCache)| {
             let shared = memory.parts.iter().rev().filter(|(_, held)| held.shared);
             let announced = shared.map(|(id, held)| (*id, held.tokens, target.clone()));
             announced.collect::<Vec<_>>()
@@ -195,12 +198,12 @@
     }
 
     /// Returns the number of tokens that a target is assumed to have cached.
-    pub fn kept(&self, target: &TargetId) -> Tokens {
+    pub fn cached_tokens(&self, target: &TargetId) -> Tokens {
         self.targets.get(target).map_or(Tokens(0), |m| m.tokens)
     }
 }
 
-impl Default for Memory {
+impl Default for TargetCache {
     fn default() -> Self {
         Self {
             parts: LruCache::unbounded(),
@@ -209,11 +212,11 @@
     }
 }
 
-impl Memory {
+impl TargetCache {
     /// Records a use of a part; returns whether the part is new.
-    fn hold(&mut self, part: PromptPart, shared: bool) -> bool {
+    fn insert(&mut self, part: PromptPart, shared: bool) -> bool {
         let tokens = part.tokens;
-        let before = self.parts.put(part.id, Held { tokens, shared });
+        let before = self.parts.put(part.id, CachedPart { tokens, shared });
         if before.is_none() {
             self.tokens += part.tokens;
         }
@@ -221,10 +224,10 @@
     }
 
     /// Evicts the parts that exceed the target's memory; returns them.
-    fn trim(&mut self, memory_tokens: u64) -> Vec<PartId> {
-        let limit = Tokens((memory_tokens as f64 * KEPT_SHARE) as u64);
+    fn evict(&mut self, memory_tokens: u64) -> Vec<PartId> {
+        let limit = Tokens((memory_tokens as f64 * CACHE_FRACTION) as u64);
         let mut dropped = Vec::new();
-        while self.tokens > limit || self.parts.len() > PARTS_LIMIT {
+        while self.tokens > limit || self.parts.len() > MAX_PARTS_PER_TARGET {
             let Some((part, held)) = self.parts.pop_lru() else {
                 break;
             };
--- a/src/prompt_snapshot.rs
+++ b/src/prompt_snapshot.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     ids::TargetId,
-    prompt_cache::{News, PartId},
+    prompt_cache::{PartId, PartLocation},
     units::Tokens,
 };
 
@@ -36,7 +36,7 @@
 
 impl PromptSnapshot {
     /// Builds a snapshot from the parts held by targets; the order of each target's parts is kept.
-    pub fn new(entries: &[News]) -> Self {
+    pub fn new(entries: &[PartLocation]) -> Self {
         let mut snapshot = Self::default();
         let mut indexes: HashMap<PartId, u32> = HashMap::new();
         let mut targets: HashMap<&TargetId, usize> = HashMap::new();
@@ -56,7 +56,7 @@
     }
 
     /// Iterates over all parts at all targets; indexes without a part are skipped.
-    pub fn held(&self) -> impl Iterator<Item = News> + '_ {
+    pub fn part_locations(&self) -> impl Iterator<Item = PartLocation> + '_ {
         self.targets.iter().flat_map(move |(target, indexes)| {
             let parts = indexes.iter().filter_map(|n| self.parts.get(*n as usize));
             parts.map(move |p| (PartId(p.id), p.tokens, target.clone()))
--- a/src/target_counts.rs
+++ b/src/target_counts.rs
@@ -26,15 +26,15 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct PackedCount {
     /// Difference between the target's hash and the previous one in ascending order.
-    step: u32,
+    hash_delta: u32,
     calls: u32,
-    /// Number of blocks of [`TOKENS_A_BLOCK`] tokens.
+    /// Number of blocks of [`TOKENS_PER_BLOCK`] tokens.
     blocks: u32,
 }
 
 /// Tokens per block, the unit in which tokens are sent: only differences of thousands of tokens affect
 /// decisions.
-const TOKENS_A_BLOCK: u64 = 64;
+const TOKENS_PER_BLOCK: u64 = 64;
 
 impl From<TargetCounts> for Vec<PackedCount> {
     fn from(counts: TargetCounts) -> Self {
@@ -45,9 +45,9 @@
             let step = target.0 - before;
             before = target.0;
             PackedCount {
-                step,
+                hash_delta: step,
                 calls: work.calls,
-                blocks: work.tokens.0.div_ceil(TOKENS_A_BLOCK) as u32,
+                blocks: work.tokens.0.div_ceil(TOKENS_PER_BLOCK) as u32,
             }
         };
         sorted.into_iter().map(pack).collect()
@@ -59,10 +59,10 @@
         let mut target = 0_u32;
         let unpack = |p: PackedCount| {
             // A sum that wraps around is the hash of no known target.
-            target = target.wrapping_add(p.step);
+            target = target.wrapping_add(p.hash_delta);
             let work = InProgress {
                 calls: p.calls,
-                tokens: Tokens(u64::from(p.blocks) * TOKENS_A_BLOCK),
+                tokens: Tokens(u64::from(p.blocks) * TOKENS_PER_BLOCK),
             };
             (TargetHash(target), work)
         };
@@ -109,7 +109,7 @@
         self.tokens += other.tokens;
     }
 
-    pub(crate) fn take(&mut self, other: Self) {
+    pub(crate) fn subtract(&mut self, other: Self) {
         self.calls = self.calls.saturating_sub(other.calls);
         self.tokens = self.tokens.less(other.tokens);
     }
@@ -123,7 +123,7 @@
     /// Calls of other routers, as counted some time ago.
     pub others: u32,
     /// Calls of other routers, averaged over the last seconds.
-    pub usual: f64,
+    pub mean_others: f64,
 }
 
 impl CallCounts {
--- a/src/target_record.rs
+++ b/src/target_record.rs
@@ -33,7 +33,7 @@
     /// Number of requests that the target processes at once.
     pub slots: u32,
     /// Maximum number of tokens in progress, if operators limit it.
-    pub most_tokens: Option<Tokens>,
+    pub max_tokens: Option<Tokens>,
     /// Whether the target accepts calls.
     pub state: TargetState,
     /// How much longer the target was cold when it wrote its entry.
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -23,13 +23,13 @@
     /// Number of calls at the target before this one.
     pub calls: u32,
     /// Number of targets that were scored.
-    pub weighed: usize,
+    pub scored_targets: usize,
     /// Average age of the counts of other routers' calls.
     pub counted_ago: Duration,
     /// Tokens of the prompt that the target still has to read.
     pub missing: Tokens,
     /// Whether the target was assumed to have read the deepest shared part of the prompt.
-    pub holds: bool,
+    pub has_read: bool,
     /// Target from whose memory the prompt is copied, if that saves reading.
     pub fetch_from: Option<Rc<TargetRecord>>,
     /// Health of the target as estimated when it was chosen.
--- a/src/withdrawals.rs
+++ b/src/withdrawals.rs
@@ -14,7 +14,7 @@
 use crate::{
     discovery::TargetRecord,
     ids::{IdError, TargetId},
-    placement::choice::NoChoice,
+    placement::choice::PlacementError,
     units::Instant,
 };
 
@@ -190,12 +190,12 @@
     }
 
     /// Returns why none of these targets accepts calls; `None` where one does.
-    pub fn none_of(&self, now: Instant, targets: &[Rc<TargetRecord>]) -> Option<NoChoice> {
+    pub fn none_of(&self, now: Instant, targets: &[Rc<TargetRecord>]) -> Option<PlacementError> {
         let all: Option<Vec<Withdrawn>> = targets.iter().map(|t| self.of(now, &t.id)).collect();
         let earliest_end = all?.into_iter().filter_map(|w| w.left).min();
         Some(match earliest_end {
-            Some(left) => NoChoice::AllBackedOff { left },
-            None => NoChoice::AllLeaving,
+            Some(left) => PlacementError::AllBackedOff { left },
+            None => PlacementError::AllLeaving,
         })
     }
 
--- a/tests/decisions/evacuation.rs
+++ b/tests/decisions/evacuation.rs
@@ -8,7 +8,7 @@
     discovery::{ListChange, TargetRecord},
     dispatcher::Dispatcher,
     evacuation::Evacuations,
-    placement::choice::NoChoice,
+    placement::choice::PlacementError,
     units::{StoreRevision, Tokens},
 };
 
@@ -90,15 +90,21 @@
             .on_hall(at(10), hall(name), true, StoreRevision::first_era(3));
     }
     let plan = plan(STREAM, vec![part(1, 3_000)], 1);
-    assert_eq!(d.choose(at(20), &plan).unwrap_err(), NoChoice::AllEvacuated);
+    assert_eq!(
+        d.choose(at(20), &plan).unwrap_err(),
+        PlacementError::AllEvacuated
+    );
     let left = Duration::from_secs(12);
     let pause = d.admission.come_back(at(20), &plan.service, left, 0.0);
     assert!(pause >= Duration::from_secs(3), "{pause:?}");
-    let other = scaleford::dispatcher::Plan {
+    let other = scaleford::dispatcher::CallPlan {
         service: "unknown".parse().unwrap(),
         ..plan
     };
-    assert_eq!(d.choose(at(20), &other).unwrap_err(), NoChoice::NoTarget);
+    assert_eq!(
+        d.choose(at(20), &other).unwrap_err(),
+        PlacementError::NoTarget
+    );
 }
 
 /// A statement may come late, twice, by a list or by a change, and after the store forgot its history.
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -24,7 +24,7 @@
     admission::{surge::Surge, warm_up::ColdRule},
     config::serving::{CallKind, EngineSpec, StreamRepeats},
     discovery::{TargetRecord, TargetState},
-    dispatcher::{Dispatcher, Plan},
+    dispatcher::{CallPlan, Dispatcher},
     edge::Rules,
     ids::DataHall,
     prompt_cache::{PartId, PromptPart},
@@ -66,7 +66,7 @@
         address: SocketAddr::from(([127, 0, 0, 1], 9000 + n as u16)),
         data_hall: hall("yard"),
         slots: 64,
-        most_tokens: None,
+        max_tokens: None,
         cold_for: Duration::ZERO,
         state: TargetState::Ready,
     }
@@ -79,8 +79,8 @@
     }
 }
 
-fn plan(kind: CallKind, prompt: Vec<PromptPart>, hash: u64) -> Plan {
-    Plan {
+fn plan(kind: CallKind, prompt: Vec<PromptPart>, hash: u64) -> CallPlan {
+    CallPlan {
         service: "writer".parse().unwrap(),
         kind,
         shared_parts: prompt.len().saturating_sub(1),
--- a/tests/decisions/many_targets.rs
+++ b/tests/decisions/many_targets.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use scaleford::{
-    dispatcher::{Dispatcher, Plan},
+    dispatcher::{CallPlan, Dispatcher},
     health::Outcome,
     ids::TargetId,
     units::Instant,
@@ -13,7 +13,7 @@
 use crate::{RESUMABLE, at, dispatcher, part, plan, record};
 
 /// A call whose prompt shares one part with all, one with some and has one of its own.
-fn call(subject: u64, own: u64) -> Plan {
+fn call(subject: u64, own: u64) -> CallPlan {
     let prompt = vec![
         part(1, 512),
         part(1_000 + subject, 10_000),
@@ -49,7 +49,7 @@
         let ticket = d.choose(now, &call(n * 7_919 % 150, n)).unwrap();
         served.read += ticket.missing.0;
         served.most = served.most.max(ticket.calls + 1);
-        served.weighed = served.weighed.max(ticket.weighed);
+        served.weighed = served.weighed.max(ticket.scored_targets);
         open.push((now + lasts, ticket));
     }
     served
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -6,11 +6,11 @@
 use scaleford::{
     config::serving::CallKind,
     discovery::{ListChange, TargetRecord, TargetState},
-    dispatcher::Plan,
+    dispatcher::CallPlan,
     health::Outcome,
     ids::{ConversationKey, TargetId, VmId},
     load_account::LoadAccount,
-    placement::choice::NoChoice,
+    placement::choice::PlacementError,
     prompt_cache::{PartId, PromptCache},
     target_counts::InProgress,
     units::{StoreRevision, Tokens},
@@ -32,9 +32,9 @@
     assert_eq!(near.total(&target).calls, 3);
     // The peer adds up for the hall, with what we told it ourselves.
     other.on_peer(at(0), me.clone(), hall("yard"), near.own_counts());
-    let sum = other.own_hall(at(0)).counts;
+    let sum = other.own_hall_sum(at(0)).counts;
     assert_eq!(sum.calls(), 3);
-    near.on_halls(at(10), other.all_halls(at(0)));
+    near.on_hall_sums(at(10), other.all_hall_sums(at(0)));
     assert_eq!(
         near.total(&target),
         InProgress {
@@ -60,7 +60,7 @@
             .choose(at(own), &plan(RESUMABLE, prompt(own), own))
             .unwrap();
         assert_eq!(ticket.target.id, first.target.id);
-        assert!(ticket.holds);
+        assert!(ticket.has_read);
         d.on_end(at(own), &ticket, Some(Outcome::Good));
     }
 }
@@ -117,7 +117,7 @@
                 assert!(here <= 2.0 * f64::from(all) / 10.0 + 3.0);
             }
             Err(no) => {
-                assert_eq!(no, NoChoice::AllFull);
+                assert_eq!(no, PlacementError::AllFull);
                 full += 1;
             }
         }
@@ -135,7 +135,7 @@
     }
     for n in 64..164 {
         let call = plan(CallKind::Unsafe, Vec::new(), n);
-        assert_eq!(d.choose(at(n), &call).unwrap_err(), NoChoice::AllFull);
+        assert_eq!(d.choose(at(n), &call).unwrap_err(), PlacementError::AllFull);
     }
 }
 
@@ -144,7 +144,10 @@
     let mut d = dispatcher(2);
     let mut call = plan(CallKind::Safe, Vec::new(), 1);
     call.tried = vec![record(0).id, record(1).id];
-    assert_eq!(d.choose(at(0), &call).unwrap_err(), NoChoice::NoTarget);
+    assert_eq!(
+        d.choose(at(0), &call).unwrap_err(),
+        PlacementError::NoTarget
+    );
 }
 
 #[test]
@@ -180,12 +183,12 @@
     let target: TargetId = "t1".parse().unwrap();
     cache.on_peer(&target, part(1, 100), false);
     cache.sweep(|_| false);
-    assert!(cache.holds(&target, PartId(1)), "missing once");
+    assert!(cache.has_read(&target, PartId(1)), "missing once");
     cache.sweep(|_| true);
     cache.sweep(|_| false);
-    assert!(cache.holds(&target, PartId(1)), "it was back between");
+    assert!(cache.has_read(&target, PartId(1)), "it was back between");
     cache.sweep(|_| false);
-    assert!(!cache.holds(&target, PartId(1)));
+    assert!(!cache.has_read(&target, PartId(1)));
 }
 
 #[test]
@@ -200,11 +203,11 @@
 }
 
 /// A turn of a chat: a system prompt that others share, what was said before, and a new question.
-fn turn(chat: u64, turns: u64) -> Plan {
+fn turn(chat: u64, turns: u64) -> CallPlan {
     let mut prompt = vec![part(1, 400)];
     prompt.extend((0..=turns).map(|n| part(chat * 1_000 + n, 150)));
     prompt.push(part(chat * 1_000 + 900 + turns, 0));
-    Plan {
+    CallPlan {
         shared_parts: 1,
         chat: Some(ConversationKey(chat)),
         answer: Tokens(100),
@@ -231,10 +234,10 @@
     while d.load.calls(at(0), &first.target.id) < 20 {
         d.load.on_send(&first.target.id, InProgress::one(Tokens(0)));
     }
-    d.cache.take_news(1_000, false);
+    d.cache.take_announcements(1_000, false);
     let moved = d.choose(at(1), &chat).unwrap();
     assert_ne!(moved.target.id, first.target.id);
-    let told = d.cache.take_news(1_000, false);
+    let told = d.cache.take_announcements(1_000, false);
     let of_chat = told.iter().filter(|(_, _, t)| *t == moved.target.id);
     assert_eq!(of_chat.count(), 5, "all parts but the request's own");
     // A peer that was told finds it there.
@@ -291,7 +294,7 @@
 fn a_target_with_little_room_for_tokens_gets_one_call_and_then_only_what_fits() {
     let mut d = dispatcher(0);
     let list = (0..2).map(|n| TargetRecord {
-        most_tokens: (n == 0).then_some(Tokens(1_000)),
+        max_tokens: (n == 0).then_some(Tokens(1_000)),
         ..record(n)
     });
     let list = list.map(|r| (r, StoreRevision::first_era(2))).collect();
@@ -327,10 +330,13 @@
 fn a_young_router_tells_once_more_what_it_told_before_it_knew_its_peers() {
     let mut d = dispatcher(3);
     d.choose(at(0), &turn(7, 3)).unwrap();
-    let first = d.cache.take_news(1_000, true);
+    let first = d.cache.take_announcements(1_000, true);
     assert!(!first.is_empty());
-    d.cache.tell_again();
-    assert_eq!(d.cache.take_news(1_000, false), first);
-    d.cache.tell_again();
-    assert!(d.cache.take_news(1_000, false).is_empty(), "only once");
+    d.cache.announce_again();
+    assert_eq!(d.cache.take_announcements(1_000, false), first);
+    d.cache.announce_again();
+    assert!(
+        d.cache.take_announcements(1_000, false).is_empty(),
+        "only once"
+    );
 }
--- a/tests/decisions/prompts.rs
+++ b/tests/decisions/prompts.rs
@@ -2,13 +2,13 @@
 
 use scaleford::{
     ids::TargetId,
-    prompt_cache::{News, PartId},
+    prompt_cache::{PartId, PartLocation},
     prompt_snapshot::PromptSnapshot,
     units::Tokens,
 };
 
 /// Parts with ids as hashes have them, each at four of 200 targets.
-fn held(parts: u64) -> Vec<News> {
+fn held(parts: u64) -> Vec<PartLocation> {
     let target = |n: u64| -> TargetId { format!("i-{n:010x}").parse().unwrap() };
     let id = |n: u64| PartId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let copies = (0..4 * parts).map(|n| {
@@ -19,7 +19,7 @@
             target((part * 7 + n % 4) % 200),
         )
     });
-    let mut copies: Vec<News> = copies.collect();
+    let mut copies: Vec<PartLocation> = copies.collect();
     copies.sort_by(|a, b| a.2.cmp(&b.2));
     copies
 }
@@ -41,7 +41,7 @@
     let held = held(50);
     let bytes = postcard::to_stdvec(&PromptSnapshot::new(&held)).unwrap();
     let back: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
-    assert_eq!(back.held().collect::<Vec<_>>(), held);
+    assert_eq!(back.part_locations().collect::<Vec<_>>(), held);
     assert_eq!(back.len(), 50);
 }
 
@@ -52,5 +52,5 @@
     let bytes = postcard::to_stdvec(&(parts, vec![(target, vec![3_u32])])).unwrap();
     let back: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
     assert!(back.is_empty());
-    assert_eq!(back.held().count(), 0);
+    assert_eq!(back.part_locations().count(), 0);
 }
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -9,7 +9,7 @@
     discovery::{ListChange, TargetRecord, TargetState},
     dispatcher::Dispatcher,
     health::Outcome,
-    placement::choice::NoChoice,
+    placement::choice::PlacementError,
     units::{Instant, StoreRevision},
     withdrawals::{Backoff, Withdrawal, Withdrawals},
 };
@@ -103,12 +103,12 @@
 }
 
 #[rstest]
-#[case::all_leave(&[(0, Withdrawal::Leaving), (1, Withdrawal::Leaving)], NoChoice::AllLeaving)]
-#[case::soonest_end(&[(0, backoff("9")), (1, backoff("2.5"))], NoChoice::AllBackedOff { left: Duration::from_millis(2_400) })]
-#[case::one_leaves(&[(0, backoff("9")), (1, Withdrawal::Leaving)], NoChoice::AllBackedOff { left: Duration::from_millis(8_900) })]
+#[case::all_leave(&[(0, Withdrawal::Leaving), (1, Withdrawal::Leaving)], PlacementError::AllLeaving)]
+#[case::soonest_end(&[(0, backoff("9")), (1, backoff("2.5"))], PlacementError::AllBackedOff { left: Duration::from_millis(2_400) })]
+#[case::one_leaves(&[(0, backoff("9")), (1, Withdrawal::Leaving)], PlacementError::AllBackedOff { left: Duration::from_millis(8_900) })]
 fn where_no_target_wants_calls_none_is_sent(
     #[case] said: &[(usize, Withdrawal)],
-    #[case] expected: NoChoice,
+    #[case] expected: PlacementError,
 ) {
     let mut d = dispatcher(2);
     for (target, withdrawal) in said {
@@ -117,10 +117,10 @@
     let call = plan(ONCE, vec![part(1, 3_000)], 1);
     assert_eq!(d.choose(at(100), &call).unwrap_err(), expected);
     let left = match expected {
-        NoChoice::AllBackedOff { left } => Some(left),
+        PlacementError::AllBackedOff { left } => Some(left),
         _ => None,
     };
-    assert_eq!(d.backoff_left(at(100), &call.service), left);
+    assert_eq!(d.backoff_remaining(at(100), &call.service), left);
 }
 
 /// The last one that gets calls is taken although others are preferred by their prompts, and it is not
@@ -141,7 +141,7 @@
     let left = Duration::from_secs(30);
     assert_eq!(
         d.choose(at(20), &call).unwrap_err(),
-        NoChoice::AllBackedOff { left }
+        PlacementError::AllBackedOff { left }
     );
 }
 
--- a/tests/load/model.rs
+++ b/tests/load/model.rs
@@ -27,11 +27,11 @@
 use scaleford::{
     admission::HallRates,
     discovery::TargetRecord,
-    dispatcher::{Dispatcher, Plan, Ticket},
+    dispatcher::{CallPlan, Dispatcher, Ticket},
     fingerprint::Fingerprint,
     health::Outcome as Health,
     membership::datagram::HallSums,
-    placement::choice::NoChoice,
+    placement::choice::PlacementError,
     prompt_cache::PartId,
     units::{Instant, StoreRevision},
 };
@@ -88,7 +88,7 @@
     router: usize,
     target: usize,
     ticket: Ticket,
-    plan: Plan,
+    plan: CallPlan,
 }
 
 pub struct Model {
@@ -236,12 +236,12 @@
     }
 
     /// Sends a call to a target, or on to another one that it was not sent to yet.
-    fn choose(&mut self, n: u64, call: Call, router: usize, plan: Plan) {
+    fn choose(&mut self, n: u64, call: Call, router: usize, plan: CallPlan) {
         if self.holds_back(router, &call) {
             return;
         }
         let chosen = match plan.tried.len() {
-            ATTEMPTS.. => Err(NoChoice::NoTarget),
+            ATTEMPTS.. => Err(PlacementError::NoTarget),
             _ => self.routers[router].choose(self.now, &plan),
         };
         match chosen {
@@ -252,14 +252,14 @@
                 let left = self.load.deadline.saturating_sub(self.now.since(call.at));
                 let draw = self.rng.random();
                 let router = &self.routers[router];
-                let pause = router.come_back(self.now, &service(), left, draw);
+                let pause = router.retry_after(self.now, &service(), left, draw);
                 self.after(pause, Event::ComesBack(call));
             }
             Err(_) => self.figures_of(&call).refused_again += 1,
         }
     }
 
-    fn send(&mut self, n: u64, call: Call, router: usize, ticket: Ticket, plan: Plan) {
+    fn send(&mut self, n: u64, call: Call, router: usize, ticket: Ticket, plan: CallPlan) {
         let index = |record: &TargetRecord| record.id.as_str()[1..].parse::<usize>().unwrap();
         let target = index(&ticket.target);
         let source = ticket.fetch_from.as_deref().map(index);
@@ -325,7 +325,7 @@
         call: Call,
         router: usize,
         ticket: &Ticket,
-        mut plan: Plan,
+        mut plan: CallPlan,
         end: Health,
     ) {
         self.routers[router].on_end(self.now, ticket, Some(end));
--- a/tests/load/model/setup.rs
+++ b/tests/load/model/setup.rs
@@ -6,7 +6,7 @@
     admission::{surge::Surge, warm_up::ColdRule},
     config::serving::{CallKind, EngineSpec, StreamRepeats},
     discovery::{TargetRecord, TargetState},
-    dispatcher::Plan,
+    dispatcher::CallPlan,
     edge::Rules,
     ids::{DataHall, ServiceName},
     membership::heartbeats::VmHash,
@@ -60,7 +60,7 @@
         address: ([10, 0, (n / 250) as u8, (n % 250) as u8], 8_000).into(),
         data_hall: hall(),
         slots,
-        most_tokens: None,
+        max_tokens: None,
         cold_for: Duration::ZERO,
         state: TargetState::Ready,
     }
@@ -87,7 +87,7 @@
 }
 
 impl Model {
-    pub(super) fn plan(&self, call: &Call, n: u64, surge: Surge) -> Plan {
+    pub(super) fn plan(&self, call: &Call, n: u64, surge: Surge) -> CallPlan {
         let part = |id, tokens| PromptPart {
             id: PartId(id),
             tokens: Tokens(tokens),
@@ -100,7 +100,7 @@
                 (CallKind::Stream(StreamRepeats::Never), prompt)
             }
         };
-        Plan {
+        CallPlan {
             service: service(),
             kind,
             shared_parts: 1.min(prompt.len()),
--- a/tests/load/model/telling.rs
+++ b/tests/load/model/telling.rs
@@ -49,17 +49,17 @@
             hub.load.on_peer(now, vm, hall(), counts);
         }
         let rates = self.rates_through_hubs(&mut hub);
-        let sums = self.through_hubs(vec![hub.load.own_hall(now)]);
+        let sums = self.through_hubs(vec![hub.load.own_hall_sum(now)]);
         let notices = self.routers.iter().map(|d| d.health.outages.notices(now));
         let notices: Vec<_> = notices.flatten().collect();
         let news = self
             .routers
             .iter_mut()
-            .map(|d| d.cache.take_news(60, false));
+            .map(|d| d.cache.take_announcements(60, false));
         let news: Vec<_> = news.flatten().collect();
         self.tell_endings();
         for router in &mut self.routers {
-            router.load.on_halls(now, sums.clone());
+            router.load.on_hall_sums(now, sums.clone());
             router.health.outages.on_notices(now, &notices);
             for (id, tokens, target) in &news {
                 let (id, tokens) = (*id, *tokens);
--- a/tests/load/model/withdrawals.rs
+++ b/tests/load/model/withdrawals.rs
@@ -105,7 +105,7 @@
             };
         }
         let id = record(target, self.load.slots).id;
-        self.routers[router].on_said(now, &id, withdrawal);
+        self.routers[router].on_withdrawal(now, &id, withdrawal);
     }
 
     /// What came of it.
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -17,7 +17,7 @@
     admission::{surge::Surge, warm_up::ColdRule},
     config::serving::{CallKind, EngineSpec, StreamRepeats},
     discovery::{ListChange, TargetRecord, TargetState},
-    dispatcher::{Dispatcher, Plan, Ticket},
+    dispatcher::{CallPlan, Dispatcher, Ticket},
     edge::Rules,
     health::Outcome,
     ids::{ConversationKey, TargetId, VmId},
@@ -87,7 +87,7 @@
         address: ([10, 0, 0, n as u8], 8000).into(),
         data_hall: "hall".parse().unwrap(),
         slots: 64,
-        most_tokens: None,
+        max_tokens: None,
         cold_for: Duration::ZERO,
         state,
     }
@@ -169,7 +169,7 @@
     fn on_request(&mut self, n: u64, router: usize, r: &Request) {
         let now = Instant::from_millis(r.t_ms);
         let prompt = self.prompt(r);
-        let plan = Plan {
+        let plan = CallPlan {
             service: "model:m".parse().unwrap(),
             kind: CallKind::Stream(StreamRepeats::UntilFirstEvent),
             shared_parts: 1,
@@ -238,7 +238,7 @@
         for from in 0..ROUTERS {
             let vm: VmId = format!("vm-{from}").parse().unwrap();
             let counts = self.routers[from].load.own_counts();
-            let parts = self.routers[from].cache.take_news(60, false);
+            let parts = self.routers[from].cache.take_announcements(60, false);
             for to in (0..ROUTERS).filter(|to| *to != from) {
                 let d = &mut self.routers[to];
                 let hall = "hall".parse().unwrap();
