--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -121,46 +121,46 @@
     pub fn choose(&mut self, now: Instant, plan: &CallPlan) -> Result<Ticket, PlacementError> {
         let preselected = self.preselected_targets(now, plan);
         let is_preselected = preselected.is_some();
-        let mut weighed = 0;
-        let field = preselected.unwrap_or_else(|| self.all_targets(now, plan));
-        if field.targets.is_empty() {
+        let mut scored_targets = 0;
+        let scored = preselected.unwrap_or_else(|| self.all_targets(now, plan));
+        if scored.targets.is_empty() {
             return Err(self.placement_error(now, &plan.service));
         }
         if !(self.admission).lets_in(now, &plan.service, plan.surge, plan.draw()) {
             self.admission.on_refused(now, &plan.service);
             return Err(PlacementError::AllFull);
         }
-        weighed += field.targets.len();
-        let mut found = self.select(now, plan, &field);
+        scored_targets += scored.targets.len();
+        let mut found = self.select(now, plan, &scored);
         let is_sound = found
             .as_ref()
-            .is_ok_and(|(_, offer)| offer.standing < Standing::Suspected);
+            .is_ok_and(|(_, view)| view.standing < Standing::Suspected);
         if is_preselected && !is_sound {
             let all = self.all_targets(now, plan);
-            weighed += all.targets.len();
+            scored_targets += all.targets.len();
             found = self.select(now, plan, &all);
         }
-        let (target, offer) = found.inspect_err(|_| {
+        let (target, view) = found.inspect_err(|_| {
             self.admission.on_refused(now, &plan.service);
         })?;
         let ticket = Ticket {
             target,
-            work: InProgress::one(offer.missing + plan.answer),
+            work: InProgress::one(view.missing + plan.answer),
             answer: plan.answer,
-            calls: offer.counts.all(),
-            scored_targets: weighed,
+            calls: view.counts.all(),
+            scored_targets,
             counted_ago: self.load.age(now),
-            missing: offer.missing,
-            has_read: offer.has_read,
-            fetch_from: self.fetch_source(now, plan, &offer),
-            standing: offer.standing,
-            warmth: offer.warmth,
+            missing: view.missing,
+            has_read: view.has_read,
+            fetch_from: self.fetch_source(now, plan, &view),
+            standing: view.standing,
+            warmth: view.warmth,
             service: plan.service.clone(),
-            slot_since: (offer.counts.all() < offer.slots).then_some(now),
+            slot_since: (view.counts.all() < view.slots).then_some(now),
         };
         let first = plan
             .chat
-            .and_then(|chat| first_choice(&field.targets, chat));
+            .and_then(|chat| first_choice(&scored.targets, chat));
         let is_first = first.is_none_or(|t| *t == ticket.target.id);
         self.on_send(now, &ticket, plan, is_first);
         Ok(ticket)
@@ -201,11 +201,11 @@
         &mut self,
         now: Instant,
         plan: &CallPlan,
-        field: &ScoredTargets,
+        scored: &ScoredTargets,
     ) -> Result<(Rc<TargetRecord>, TargetView), PlacementError> {
-        let targets = &field.targets;
+        let targets = &scored.targets;
         let slot_time = self.admission.room(now, &plan.service).held;
-        let reach = ServiceContext {
+        let context = ServiceContext {
             survival: Survival::new(self.load.age(now), slot_time),
             limit: self.admission.limit(&plan.service, plan.goal),
             least_missing: self.least_missing(now, plan),
@@ -213,37 +213,37 @@
         };
         let first = plan.chat.and_then(|chat| first_choice(targets, chat));
         let expected = first.filter(|_| !self.is_history_cached(targets, plan));
-        let offer = |t: &Rc<TargetRecord>| self.target_view(now, t, plan, &reach, expected);
-        let mut offers: Vec<TargetView> = targets.iter().map(offer).collect();
+        let view = |t: &Rc<TargetRecord>| self.target_view(now, t, plan, &context, expected);
+        let mut views: Vec<TargetView> = targets.iter().map(view).collect();
         if let Some(warm_up) = plan.warm_up.filter(|_| self.discovery.may_be_cold()) {
-            for (offer, target) in offers.iter_mut().zip(targets) {
+            for (view, target) in views.iter_mut().zip(targets) {
                 if self
                     .discovery
                     .cold_until(now, target, warm_up.lasts)
                     .is_some()
                 {
                     let cold = &mut self.cold;
-                    offer.warmth = cold.warmth(now, &target.id, warm_up);
+                    view.warmth = cold.warmth(now, &target.id, warm_up);
                 }
             }
         }
         let pools = self.discovery.pools();
-        let wanted = PlacementRequest {
+        let request = PlacementRequest {
             key: plan.key(),
             call: plan.hash,
-            survival: reach.survival,
+            survival: context.survival,
             has_shared_prompt: !plan.shared_parts().is_empty() && plan.chat.is_none(),
             is_chat: plan.chat.is_some(),
             surge: plan.surge,
             repeatable: plan.kind.is_repeatable(),
             cap_factor: self.cap_factor,
-            calls_per_slot: field
+            calls_per_slot: scored
                 .sample
                 .and_then(|_| pools.calls_per_slot(&plan.service, &self.load)),
         };
-        let sample = field.sample.unwrap_or(offers.len());
-        let i = choose_with_sample(&offers, &offers[offers.len() - sample..], &wanted)?;
-        Ok((Rc::clone(&targets[i]), offers.swap_remove(i)))
+        let sample = scored.sample.unwrap_or(views.len());
+        let i = choose_with_sample(&views, &views[views.len() - sample..], &request)?;
+        Ok((Rc::clone(&targets[i]), views.swap_remove(i)))
     }
 
     /// Records the first event of an answer: the target has read the prompt.
@@ -444,7 +444,7 @@
         now: Instant,
         target: &Rc<TargetRecord>,
         plan: &CallPlan,
-        reach: &ServiceContext,
+        context: &ServiceContext,
         expected_at: Option<&TargetId>,
     ) -> TargetView {
         let id = &target.id;
@@ -453,25 +453,25 @@
             missing = missing.min(plan.new_tokens());
         }
         let deepest = plan.shared_parts().last();
-        let elsewhere = reach.read_elsewhere(missing);
+        let read_elsewhere = context.read_elsewhere(missing);
         let traits = CallTraits {
-            at_home: elsewhere < MIN_FETCH_TOKENS,
+            at_home: read_elsewhere < MIN_FETCH_TOKENS,
             surges: plan.surge.is_on(),
         };
         TargetView {
             standing: self.health.standing(now, id),
             counts: self.load.call_counts(now, id),
-            backlog: self.load.backlog(id, reach.survival),
+            backlog: self.load.backlog(id, context.survival),
             missing,
-            fetchable: if reach.can_fetch {
-                elsewhere
+            fetchable: if context.can_fetch {
+                read_elsewhere
             } else {
                 Tokens(0)
             },
             has_read: deepest.is_some_and(|p| self.cache.has_read(id, p.id)),
             cached_tokens: self.cache.cached_tokens(id),
             slots: target.slots,
-            max_calls: reach.limit.most_calls(target.slots, traits),
+            max_calls: context.limit.most_calls(target.slots, traits),
             max_tokens: target.max_tokens,
             warmth: Warmth::Warm,
             in_local_hall: target.data_hall == self.hall,
--- a/src/load_account.rs
+++ b/src/load_account.rs
@@ -334,15 +334,15 @@
             now.since(self.mean_updated_at).as_secs_f64() / MEAN_TIME_CONSTANT.as_secs_f64();
         self.mean_updated_at = now;
         let decay = (-elapsed).exp();
-        for (target, usual) in &mut self.mean_others {
+        for (target, mean) in &mut self.mean_others {
             let calls = self.others.get(target).map_or(0, |w| w.calls);
-            *usual = f64::from(calls) * (1.0 - decay) + *usual * decay;
+            *mean = f64::from(calls) * (1.0 - decay) + *mean * decay;
         }
         for (target, work) in &self.others {
             let calls = f64::from(work.calls);
             self.mean_others.entry(*target).or_insert(calls);
         }
-        self.mean_others.retain(|_, usual| *usual > MIN_MEAN_CALLS);
+        self.mean_others.retain(|_, mean| *mean > MIN_MEAN_CALLS);
     }
 }
 
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -190,8 +190,8 @@
 
 /// Returns the index of the chosen target: a warm target, or if none has room, a cold target of which this
 /// router has a share.
-pub fn choose(options: &[TargetView], wanted: &PlacementRequest) -> Result<usize, PlacementError> {
-    choose_with_sample(options, options, wanted)
+pub fn choose(options: &[TargetView], request: &PlacementRequest) -> Result<usize, PlacementError> {
+    choose_with_sample(options, options, request)
 }
 
 /// Chooses among `options` when they are only a few of very many targets. The load bound is computed from
@@ -200,7 +200,7 @@
 pub(crate) fn choose_with_sample(
     options: &[TargetView],
     sample: &[TargetView],
-    wanted: &PlacementRequest,
+    request: &PlacementRequest,
 ) -> Result<usize, PlacementError> {
     let all: Vec<(usize, &TargetView)> = options.iter().enumerate().collect();
     let untried: Vec<(usize, &TargetView)> = all.iter().filter(|o| !o.1.tried).copied().collect();
@@ -212,21 +212,21 @@
         matching.copied().collect::<Vec<_>>()
     };
     let loads: Vec<Load> = sample.iter().map(TargetView::load).collect();
-    let estimate = Estimate::new(&loads, wanted.survival);
-    let bound = Bound::new(sample, wanted, estimate);
+    let estimate = Estimate::new(&loads, request.survival);
+    let bound = Bound::new(sample, request, estimate);
     let mut chosen = Err(PlacementError::AllCold);
     for available in [with_warmth(Warmth::Warm), with_warmth(Warmth::Shared)] {
         let with_room = match available.is_empty() {
             true => continue,
-            false => filter_with_room(&available, wanted, &bound),
+            false => filter_with_room(&available, request, &bound),
         };
         let with_room = match with_room.is_empty() {
-            true => self::filter_with_room(&available, wanted, &bound.with_estimates(sample)),
+            true => filter_with_room(&available, request, &bound.with_estimates(sample)),
             false => with_room,
         };
         chosen = match with_room.is_empty() {
             true => Err(PlacementError::AllFull),
-            false => return Ok(best(&with_room, wanted, estimate)),
+            false => return Ok(best(&with_room, request, estimate)),
         };
     }
     chosen
@@ -235,10 +235,10 @@
 /// Returns the targets with room: only healthy ones if any of these has room, else all.
 fn filter_with_room<'a>(
     available: &[(usize, &'a TargetView)],
-    wanted: &PlacementRequest,
+    request: &PlacementRequest,
     bound: &Bound,
 ) -> Vec<(usize, &'a TargetView)> {
-    let standing = best_standing(available, wanted.repeatable);
+    let standing = best_standing(available, request.repeatable);
     let has_room = |o: &&(usize, &TargetView)| bound.has_room(o.1);
     let sound = available.iter().filter(|o| o.1.standing <= standing);
     let with_room: Vec<_> = sound.filter(has_room).copied().collect();
@@ -262,17 +262,17 @@
 }
 
 impl Bound {
-    fn new(options: &[TargetView], wanted: &PlacementRequest, estimate: Estimate) -> Self {
+    fn new(options: &[TargetView], request: &PlacementRequest, estimate: Estimate) -> Self {
         let calls: f64 = options.iter().map(|o| f64::from(o.calls())).sum();
         let slots: f64 = options.iter().map(|o| f64::from(o.slots)).sum();
-        let factor = 1.0 + (wanted.cap_factor - 1.0) * BOUND_FRACTION;
-        let mean = wanted.calls_per_slot.unwrap_or(calls / slots.max(1.0));
+        let factor = 1.0 + (request.cap_factor - 1.0) * BOUND_FRACTION;
+        let mean = request.calls_per_slot.unwrap_or(calls / slots.max(1.0));
         Self {
             calls_a_slot: mean * factor,
             factor,
             estimate,
-            shift: wanted.shift() * estimate.deviation(),
-            limit_excess: wanted.limit_slack() * estimate.deviation(),
+            shift: request.shift() * estimate.deviation(),
+            limit_excess: request.limit_slack() * estimate.deviation(),
         }
     }
 
@@ -316,13 +316,13 @@
 
 fn best(
     with_room: &[(usize, &TargetView)],
-    wanted: &PlacementRequest,
+    request: &PlacementRequest,
     estimate: Estimate,
 ) -> usize {
     let is_unread = !with_room.iter().any(|o| o.1.has_read);
-    match is_unread && wanted.has_shared_prompt {
-        true => first_reader(with_room, wanted),
-        false => cheapest(with_room, wanted, estimate),
+    match is_unread && request.has_shared_prompt {
+        true => first_reader(with_room, request),
+        false => cheapest(with_room, request, estimate),
     }
 }
 
@@ -331,7 +331,7 @@
 ///
 /// The number is small but more than one because many routers choose before they learn of each other's
 /// choices: prompts with the same beginning must not all go to one target.
-fn first_reader(with_room: &[(usize, &TargetView)], wanted: &PlacementRequest) -> usize {
+fn first_reader(with_room: &[(usize, &TargetView)], request: &PlacementRequest) -> usize {
     let n = with_room.len() as f64;
     let mean_cached = with_room
         .iter()
@@ -349,27 +349,27 @@
         o.missing.0 as f64 + o.backlog.0 as f64 + excess_cached + excess_calls * RUNNING_CALL_TOKENS
     };
     let mut candidates = with_room.to_vec();
-    candidates.sort_unstable_by_key(|o| std::cmp::Reverse(draw(wanted.key, &o.1.target)));
+    candidates.sort_unstable_by_key(|o| std::cmp::Reverse(draw(request.key, &o.1.target)));
     candidates.truncate(FIRST_READER_CANDIDATES);
-    lowest_cost(&candidates, wanted.key, cost)
+    lowest_cost(&candidates, request.key, cost)
 }
 
 /// Chooses one of the cheapest targets at random, with a probability that depends on its room.
 fn cheapest(
     with_room: &[(usize, &TargetView)],
-    wanted: &PlacementRequest,
+    request: &PlacementRequest,
     estimate: Estimate,
 ) -> usize {
     let loads: Vec<Load> = with_room.iter().map(|o| o.1.load()).collect();
     let spread = Spread::new(&loads, estimate);
     let costs: Vec<f64> = with_room
         .iter()
-        .map(|o| cost(o.1, wanted, &spread))
+        .map(|o| cost(o.1, request, &spread))
         .collect();
     let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
     let score = |(o, cost): (&(usize, &TargetView), &f64)| {
         let chance = spread.log_weight(o.1.load(), cost - least);
-        (chance + gumbel(wanted.target_hash(o.1)), o.0)
+        (chance + gumbel(request.target_hash(o.1)), o.0)
     };
     let scores = with_room.iter().zip(&costs).map(score);
     scores
@@ -391,14 +391,14 @@
 }
 
 /// Computes the cost of a target, in calls.
-fn cost(option: &TargetView, wanted: &PlacementRequest, spread: &Spread) -> f64 {
+fn cost(option: &TargetView, request: &PlacementRequest, spread: &Spread) -> f64 {
     let far = if option.in_local_hall {
         0.0
     } else {
         REMOTE_HALL_CALLS
     };
     let unread = option.missing.less(option.fetchable);
-    let turns = if wanted.is_chat {
+    let turns = if request.is_chat {
         CHAT_TOKEN_FACTOR
     } else {
         1.0
--- a/src/placement/spread.rs
+++ b/src/placement/spread.rs
@@ -99,7 +99,7 @@
     /// Computes the estimate from the counts of all targets of a service.
     pub(super) fn new(loads: &[Load], survival: Survival) -> Self {
         let others = sum_without_hung(loads, |l| f64::from(l.counts.others));
-        let usual = sum_without_hung(loads, |l| l.counts.mean_others);
+        let mean_sum = sum_without_hung(loads, |l| l.counts.mean_others);
         let slots: f64 = loads.iter().map(|l| f64::from(l.slots)).sum();
         // The calls that remain of those counted follow a binomial distribution, the new calls a Poisson
         // distribution.
@@ -107,7 +107,7 @@
         let variance = mean * (1.0 - survival.0 * survival.0);
         Self {
             survival,
-            mean_others: usual / slots.max(1.0),
+            mean_others: mean_sum / slots.max(1.0),
             deviation: variance.sqrt(),
         }
     }
@@ -129,8 +129,8 @@
         f64::from(counts.own) + self.survival.of(f64::from(counts.others))
     }
 
-    fn new_calls(&self, usual: f64) -> f64 {
-        usual - self.survival.of(usual)
+    fn new_calls(&self, mean: f64) -> f64 {
+        mean - self.survival.of(mean)
     }
 
     /// Returns the standard deviation of the estimate, in calls.
--- a/src/prompt_cache.rs
+++ b/src/prompt_cache.rs
@@ -173,11 +173,11 @@
     /// remembers them for [`Self::announce_again`].
     pub fn take_announcements(&mut self, limit: usize, young: bool) -> Vec<PartLocation> {
         let n = self.announcements.len().min(limit);
-        let news: Vec<PartLocation> = self.announcements.drain(..n).collect();
+        let announcements: Vec<PartLocation> = self.announcements.drain(..n).collect();
         if young && self.announced.len() < MAX_ANNOUNCEMENTS {
-            self.announced.extend_from_slice(&news);
+            self.announced.extend_from_slice(&announcements);
         }
-        news
+        announcements
     }
 
     /// Queues the parts announced so far once more: routers that started together did not know each other
