--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -15,7 +15,9 @@
     load_account::LoadAccount,
     placement::{
         candidates::PRESELECTION_THRESHOLD,
-        choice::{PlacementError, PlacementRequest, TargetView, choose_with_sample, draw},
+        choice::{
+            PlacementError, PlacementRequest, TargetView, choose_with_sample, rendezvous_hash,
+        },
         spread::Survival,
     },
     prompt_cache::PromptCache,
@@ -58,7 +60,7 @@
     targets: Vec<Rc<TargetRecord>>,
     /// How many targets at the end of `targets` are the sample that represents all targets; `None` if
     /// `targets` holds all of them.
-    sample: Option<usize>,
+    sample_len: Option<usize>,
 }
 
 /// State and rules that decide where calls are sent.
@@ -134,7 +136,7 @@
         let mut found = self.select(now, plan, &scored);
         let is_sound = found
             .as_ref()
-            .is_ok_and(|(_, view)| view.standing < Standing::Suspected);
+            .is_ok_and(|(_, view)| view.health_status < Standing::Suspected);
         if is_preselected && !is_sound {
             let all = self.all_targets(now, plan);
             scored_targets += all.targets.len();
@@ -153,7 +155,7 @@
             missing: view.missing,
             has_read: view.has_read,
             fetch_from: self.fetch_source(now, plan, &view),
-            standing: view.standing,
+            health_status: view.health_status,
             warmth: view.warmth,
             service: plan.service.clone(),
             slot_since: (view.counts.all() < view.slots).then_some(now),
@@ -175,7 +177,7 @@
         let targets = self.withdrawals.without(now, serving);
         ScoredTargets {
             targets: targets.into_iter().cloned().collect(),
-            sample: None,
+            sample_len: None,
         }
     }
 
@@ -192,7 +194,7 @@
         targets.extend(sample);
         (n > 0).then_some(ScoredTargets {
             targets,
-            sample: Some(n),
+            sample_len: Some(n),
         })
     }
 
@@ -238,10 +240,10 @@
             repeatable: plan.kind.is_repeatable(),
             cap_factor: self.cap_factor,
             calls_per_slot: scored
-                .sample
+                .sample_len
                 .and_then(|_| pools.calls_per_slot(&plan.service, &self.load)),
         };
-        let sample = scored.sample.unwrap_or(views.len());
+        let sample = scored.sample_len.unwrap_or(views.len());
         let i = choose_with_sample(&views, &views[views.len() - sample..], &request)?;
         Ok((Rc::clone(&targets[i]), views.swap_remove(i)))
     }
@@ -459,7 +461,7 @@
             surges: plan.surge.is_on(),
         };
         TargetView {
-            standing: self.health.standing(now, id),
+            health_status: self.health.standing(now, id),
             counts: self.load.call_counts(now, id),
             backlog: self.load.backlog(id, context.survival),
             missing,
@@ -483,6 +485,8 @@
 
 /// Returns the target that rendezvous hashing selects for a chat.
 fn first_choice(targets: &[Rc<TargetRecord>], chat: ConversationKey) -> Option<&TargetId> {
-    let first = targets.iter().max_by_key(|t| draw(chat.0, &t.id));
+    let first = targets
+        .iter()
+        .max_by_key(|t| rendezvous_hash(chat.0, &t.id));
     first.map(|t| &t.id)
 }
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -93,7 +93,7 @@
     cx.freshness.borrow_mut().on_set_back(settled_at);
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher.quarantine.on_set_back();
-    dispatcher.cache.on_set_back();
+    dispatcher.cache.on_store_reverted();
     if !cx.cfg.own_config {
         dispatcher.discovery.on_set_back(cx.now());
     }
--- a/src/edge/place.rs
+++ b/src/edge/place.rs
@@ -111,7 +111,7 @@
             "fetched_from" => self.ticket.fetch_from.as_ref().map(|t| t.id.to_string()),
             "withdrawal" => self.withdrawal.map(Withdrawal::name), "backoff_ms" => self.withdrawal.and_then(Withdrawal::backoff).map(|b| b.as_millis() as u64),
             "began_ms" => self.began.0.as_millis() as u64,
-            "standing" => ?self.ticket.standing, "warmth" => ?self.ticket.warmth);
+            "standing" => ?self.ticket.health_status, "warmth" => ?self.ticket.warmth);
         if let Some(standing) = standing {
             info!(log, "standing"; "target" => %target, "standing" => ?standing, "id" => &self.id, "why" => why);
         }
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -47,14 +47,14 @@
 
     /// Adds a target, or replaces its record with the current one.
     pub(crate) fn add(&mut self, target: &Rc<TargetRecord>) {
-        self.take(&target.id);
+        self.remove(&target.id);
         let at = hash(&target.id);
         let index = self.0.partition_point(|(hash, _)| *hash < at);
         self.0.insert(index, (at, Rc::clone(target)));
     }
 
     /// Removes a target.
-    pub(crate) fn take(&mut self, id: &TargetId) {
+    pub(crate) fn remove(&mut self, id: &TargetId) {
         let at = hash(id);
         let first = self.0.partition_point(|(hash, _)| *hash < at);
         let same = self.0[first..].iter().take_while(|(hash, _)| *hash == at);
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -73,7 +73,7 @@
     /// Id of the target.
     pub target: TargetId,
     /// Health of the target as estimated by this router.
-    pub standing: Standing,
+    pub health_status: Standing,
     /// Calls in progress at the target.
     pub counts: CallCounts,
     /// Tokens that the target still has to read for calls in progress.
@@ -162,8 +162,8 @@
     /// because its next turns look for the prompt at that target.
     fn target_hash(&self, o: &TargetView) -> u64 {
         match o.has_read && !self.is_chat {
-            true => draw(self.call, &o.target),
-            false => draw(self.key, &o.target),
+            true => rendezvous_hash(self.call, &o.target),
+            false => rendezvous_hash(self.key, &o.target),
         }
     }
 }
@@ -238,9 +238,9 @@
     request: &PlacementRequest,
     bound: &Bound,
 ) -> Vec<(usize, &'a TargetView)> {
-    let standing = best_standing(available, request.repeatable);
+    let standing = best_health_status(available, request.repeatable);
     let has_room = |o: &&(usize, &TargetView)| bound.has_room(o.1);
-    let sound = available.iter().filter(|o| o.1.standing <= standing);
+    let sound = available.iter().filter(|o| o.1.health_status <= standing);
     let with_room: Vec<_> = sound.filter(has_room).copied().collect();
     match with_room.is_empty() {
         // A suspect target is better than refusing the call.
@@ -251,7 +251,7 @@
 
 /// Load bound of a target: its own limit, and the limit relative to the other targets.
 struct Bound {
-    calls_a_slot: f64,
+    max_calls_per_slot: f64,
     /// Maximum load of a target as a multiple of the mean.
     factor: f64,
     estimate: Estimate,
@@ -268,7 +268,7 @@
         let factor = 1.0 + (request.cap_factor - 1.0) * BOUND_FRACTION;
         let mean = request.calls_per_slot.unwrap_or(calls / slots.max(1.0));
         Self {
-            calls_a_slot: mean * factor,
+            max_calls_per_slot: mean * factor,
             factor,
             estimate,
             shift: request.shift() * estimate.deviation(),
@@ -284,13 +284,13 @@
         let calls: f64 = options.iter().map(|o| self.estimate.calls(o.load())).sum();
         let slots: f64 = options.iter().map(|o| f64::from(o.slots)).sum();
         Self {
-            calls_a_slot: calls / slots.max(1.0) * self.factor,
+            max_calls_per_slot: calls / slots.max(1.0) * self.factor,
             ..*self
         }
     }
 
     fn has_room(&self, o: &TargetView) -> bool {
-        let max_calls = self.calls_a_slot * f64::from(o.slots) + BOUND_SLACK_CALLS;
+        let max_calls = self.max_calls_per_slot * f64::from(o.slots) + BOUND_SLACK_CALLS;
         let work = Tokens(o.backlog.0 + o.missing.0);
         let relative_load = self.estimate.calls(o.load()) + self.shift;
         let own_load = self.estimate.calls_if_spread(o.load()) + self.shift - self.limit_excess;
@@ -302,8 +302,8 @@
 }
 
 /// Returns the best standing among the targets, or `OnTrial` for calls that may try a suspect target.
-fn best_standing(available: &[(usize, &TargetView)], repeatable: bool) -> Standing {
-    let best = available.iter().map(|o| o.1.standing).min();
+fn best_health_status(available: &[(usize, &TargetView)], repeatable: bool) -> Standing {
+    let best = available.iter().map(|o| o.1.health_status).min();
     match best.unwrap_or_default() {
         Standing::Well | Standing::Full if repeatable && on_trial(available) => Standing::OnTrial,
         best => best,
@@ -311,7 +311,9 @@
 }
 
 fn on_trial(available: &[(usize, &TargetView)]) -> bool {
-    available.iter().any(|o| o.1.standing == Standing::OnTrial)
+    available
+        .iter()
+        .any(|o| o.1.health_status == Standing::OnTrial)
 }
 
 fn best(
@@ -349,7 +351,8 @@
         o.missing.0 as f64 + o.backlog.0 as f64 + excess_cached + excess_calls * RUNNING_CALL_TOKENS
     };
     let mut candidates = with_room.to_vec();
-    candidates.sort_unstable_by_key(|o| std::cmp::Reverse(draw(request.key, &o.1.target)));
+    candidates
+        .sort_unstable_by_key(|o| std::cmp::Reverse(rendezvous_hash(request.key, &o.1.target)));
     candidates.truncate(FIRST_READER_CANDIDATES);
     lowest_cost(&candidates, request.key, cost)
 }
@@ -384,7 +387,7 @@
     cost: impl Fn(&TargetView) -> f64,
 ) -> usize {
     let by_cost = |a: &&(usize, &TargetView), b: &&(usize, &TargetView)| {
-        let tie = || draw(key, &b.1.target).cmp(&draw(key, &a.1.target));
+        let tie = || rendezvous_hash(key, &b.1.target).cmp(&rendezvous_hash(key, &a.1.target));
         cost(a.1).total_cmp(&cost(b.1)).then_with(tie)
     };
     with_room.iter().min_by(by_cost).map_or(0, |o| o.0)
@@ -418,6 +421,6 @@
 
 /// Computes the rendezvous hash of a target for a key. The target with the highest hash is the key's first
 /// choice.
-pub(crate) fn draw(key: u64, target: &TargetId) -> u64 {
+pub(crate) fn rendezvous_hash(key: u64, target: &TargetId) -> u64 {
     xxh3_64_with_seed(target.as_str().as_bytes(), key)
 }
--- a/src/placement/spread.rs
+++ b/src/placement/spread.rs
@@ -115,16 +115,16 @@
     /// Estimates the calls at a target if routers keep sending as before: the counted calls that remain,
     /// and in place of those that ended the target's own average.
     pub(super) fn calls(&self, load: Load) -> f64 {
-        self.kept(load) + self.new_calls(load.counts.mean_others)
+        self.remaining_calls(load) + self.new_calls(load.counts.mean_others)
     }
 
     /// Estimates the calls at a target if routers send to all targets alike: the counted calls that remain,
     /// and in place of those that ended the average of the service's targets.
     pub(super) fn calls_if_spread(&self, load: Load) -> f64 {
-        self.kept(load) + self.new_calls(self.mean_others * f64::from(load.slots))
+        self.remaining_calls(load) + self.new_calls(self.mean_others * f64::from(load.slots))
     }
 
-    fn kept(&self, load: Load) -> f64 {
+    fn remaining_calls(&self, load: Load) -> f64 {
         let counts = load.counts;
         f64::from(counts.own) + self.survival.of(f64::from(counts.others))
     }
@@ -143,7 +143,7 @@
     /// what many calls ask for.
     fn calls_before_new(&self, load: Load) -> f64 {
         let beyond = load.counts.mean_others - self.mean_others * f64::from(load.slots);
-        self.kept(load) + self.new_calls(beyond.max(0.0))
+        self.remaining_calls(load) + self.new_calls(beyond.max(0.0))
     }
 }
 
--- a/src/pools.rs
+++ b/src/pools.rs
@@ -48,13 +48,13 @@
         self.hashes.insert((&target.id).into());
     }
 
-    fn take(&mut self, id: &TargetId) {
+    fn remove(&mut self, id: &TargetId) {
         let Ok(i) = self.position(id) else {
             return;
         };
         let removed = self.targets.remove(i);
         self.slots -= u64::from(removed.slots);
-        self.ring.take(&removed.id);
+        self.ring.remove(&removed.id);
         self.hashes.remove(&(&removed.id).into());
     }
 }
@@ -84,7 +84,7 @@
     /// Adds a target that accepts calls, or replaces its record.
     pub(crate) fn add(&mut self, target: &Rc<TargetRecord>) {
         let others = self.0.iter_mut().filter(|(s, _)| **s != target.service);
-        others.for_each(|(_, pool)| pool.take(&target.id));
+        others.for_each(|(_, pool)| pool.remove(&target.id));
         let pool = self.0.entry(target.service.clone()).or_default();
         pool.add(target);
     }
@@ -96,7 +96,7 @@
 
     /// Removes a target that is gone.
     pub(crate) fn take_id(&mut self, id: &TargetId) {
-        self.0.values_mut().for_each(|pool| pool.take(id));
+        self.0.values_mut().for_each(|pool| pool.remove(id));
     }
 
     /// Returns the targets of a service, sorted by id.
--- a/src/prompt_cache.rs
+++ b/src/prompt_cache.rs
@@ -160,7 +160,7 @@
     }
 
     /// Marks known parts as unsaved after the store was set back, which may have lost saved parts.
-    pub fn on_set_back(&mut self) {
+    pub fn on_store_reverted(&mut self) {
         self.unsaved |= !self.holders.is_empty();
     }
 
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -33,7 +33,7 @@
     /// Target from whose memory the prompt is copied, if that saves reading.
     pub fetch_from: Option<Rc<TargetRecord>>,
     /// Health of the target as estimated when it was chosen.
-    pub standing: Standing,
+    pub health_status: Standing,
     /// How far the target had warmed up.
     pub warmth: Warmth,
     /// The service that was requested.
