--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -435,8 +435,8 @@
         let record = listed.map(|l| &l.record).filter(|r| r.id == *id);
         match record {
             Some(record) if takes_work(record, &self.evacuations) => self.pools.add(record),
-            Some(record) => self.pools.take(record),
-            None => self.pools.take_id(id),
+            Some(record) => self.pools.remove(record),
+            None => self.pools.remove_id(id),
         }
     }
 }
--- a/src/pools.rs
+++ b/src/pools.rs
@@ -90,12 +90,12 @@
     }
 
     /// Removes a target that accepts no more calls.
-    pub(crate) fn take(&mut self, target: &TargetRecord) {
-        self.take_id(&target.id);
+    pub(crate) fn remove(&mut self, target: &TargetRecord) {
+        self.remove_id(&target.id);
     }
 
     /// Removes a target that is gone.
-    pub(crate) fn take_id(&mut self, id: &TargetId) {
+    pub(crate) fn remove_id(&mut self, id: &TargetId) {
         self.0.values_mut().for_each(|pool| pool.remove(id));
     }
 
