--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -152,7 +152,7 @@
         }
         let targets = routes::targets(&cfg);
         d.discovery
-            .on_stated(Instant::default(), targets, StoreRevision::first_era(1));
+            .on_configured_list(Instant::default(), targets, StoreRevision::first_era(1));
         for peer in 0..peers {
             let vm = name(&format!("vm-{peer}"));
             d.health.on_suspicions(Instant::default(), vm, Vec::new());
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -25,21 +25,21 @@
 pub const SHARDS: u64 = 8;
 
 /// Number of records from which on a value is sealed.
-pub const SEAL_AT: usize = 64;
+pub const SEAL_AT_RECORDS: usize = 64;
 
 /// Time for which a key is remembered, in seconds.
 pub const RETENTION_S: u64 = 24 * 3600;
 
 /// Time for which a claim without an outcome counts as still running, in seconds. After that, the
 /// outcome is unknown.
-pub const RUNNING_S: u64 = 3600;
+pub const RUNNING_TIMEOUT_S: u64 = 3600;
 
 /// Maximum age, in seconds, of the copy that the store is restored from. A record older than that
 /// is in the copy, or another keeper recorded something else in its place.
-pub const COPY_AGE_S: u64 = 60;
+pub const MAX_COPY_AGE_S: u64 = 60;
 
 /// Maximum number of keys that one shard remembers; beyond it, new calls are not run.
-pub const SHARD_LIMIT: usize = 100_000;
+pub const MAX_SHARD_KEYS: usize = 100_000;
 
 /// Hash of an account, a service and the idempotency key of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -158,7 +158,7 @@
 
 /// Latest step recorded on a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Standing {
+struct KeyState {
     request: RequestId,
     kind: ClaimKind,
     outcome: u16,
@@ -168,7 +168,7 @@
 /// A shard as its keeper knows it: the latest step on each key, and the chunk to append to.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimShard {
-    standing: HashMap<ClaimKey, Standing>,
+    standing: HashMap<ClaimKey, KeyState>,
     last: Chunk,
     /// Number of `last` in the chain.
     number: u64,
@@ -200,24 +200,24 @@
 
     /// Applies the next chunk as it was read from the store. Chunks are loaded in order.
     pub fn load(&mut self, number: u64, chunk: Chunk) {
-        chunk.records.iter().for_each(|r| self.stand(r));
+        chunk.records.iter().for_each(|r| self.apply(r));
         self.number = number;
         self.last = chunk;
     }
 
     /// Restores the records that were lost when the store was reverted to an older copy. `before`
     /// is this shard as it was known until then. Its records count as lost if they are at most
-    /// [`COPY_AGE_S`] old, and this shard has no record of their key, or only the claim of the same
+    /// [`MAX_COPY_AGE_S`] old, and this shard has no record of their key, or only the claim of the same
     /// request.
     pub fn recover(&mut self, before: &Self, now_s: u64) {
-        let is_lost = |(key, known): &(&ClaimKey, &Standing)| match self.standing.get(*key) {
-            _ if known.at_s + COPY_AGE_S < now_s => false,
+        let is_lost = |(key, known): &(&ClaimKey, &KeyState)| match self.standing.get(*key) {
+            _ if known.at_s + MAX_COPY_AGE_S < now_s => false,
             None => true,
             Some(now) => now.request == known.request && now.kind == ClaimKind::Claim,
         };
         let lost = before.standing.iter().filter(is_lost);
         let lost: Vec<Record> = lost.map(|(key, known)| known.record(*key)).collect();
-        lost.iter().for_each(|r| self.stand(r));
+        lost.iter().for_each(|r| self.apply(r));
         self.lost = lost;
     }
 
@@ -258,14 +258,14 @@
                 .get(&step.key)
                 .or_else(|| self.standing.get(&step.key));
             let record = Record { step: *step, at_s };
-            let verdict = judge(known.copied(), &record, self.standing.len() + batched.len());
-            if verdict == ClaimVerdict::Recorded && !repeats(known.copied(), step) {
+            let verdict = decide_step(known.copied(), &record, self.standing.len() + batched.len());
+            if verdict == ClaimVerdict::Recorded && !is_recorded(known.copied(), step) {
                 chunk.records.push(record);
-                batched.insert(step.key, standing(&record));
+                batched.insert(step.key, key_state(&record));
             }
             verdicts.push(verdict);
         }
-        chunk.sealed = chunk.records.len() >= SEAL_AT;
+        chunk.sealed = chunk.records.len() >= SEAL_AT_RECORDS;
         Batch {
             number,
             chunk,
@@ -289,16 +289,16 @@
         self.load(batch.number, batch.chunk);
     }
 
-    fn stand(&mut self, record: &Record) {
+    fn apply(&mut self, record: &Record) {
         let key = record.step.key;
         match record.step.kind {
             ClaimKind::Release => self.standing.remove(&key),
-            _ => self.standing.insert(key, standing(record)),
+            _ => self.standing.insert(key, key_state(record)),
         };
     }
 }
 
-impl Standing {
+impl KeyState {
     fn record(&self, key: ClaimKey) -> Record {
         let step = ClaimStep {
             key,
@@ -313,7 +313,7 @@
     }
 }
 
-fn standing(record: &Record) -> Standing {
+fn key_state(record: &Record) -> KeyState {
     let ClaimStep {
         request,
         kind,
@@ -321,7 +321,7 @@
         ..
     } = record.step;
     let at_s = record.at_s;
-    Standing {
+    KeyState {
         request,
         kind,
         outcome,
@@ -331,12 +331,12 @@
 
 /// Decides on a step by the latest step known on its key; `remembered` is the number of keys that
 /// the shard remembers.
-fn judge(known: Option<Standing>, record: &Record, remembered: usize) -> ClaimVerdict {
+fn decide_step(known: Option<KeyState>, record: &Record, remembered: usize) -> ClaimVerdict {
     use ClaimKind::{Claim, Done, Release};
     let step = &record.step;
-    let age_s = |s: &Standing| record.at_s.saturating_sub(s.at_s);
+    let age_s = |s: &KeyState| record.at_s.saturating_sub(s.at_s);
     match (step.kind, known) {
-        (Claim, None) if remembered >= SHARD_LIMIT => ClaimVerdict::NotRecorded,
+        (Claim, None) if remembered >= MAX_SHARD_KEYS => ClaimVerdict::NotRecorded,
         (Claim, None) => ClaimVerdict::Recorded,
         (Claim, Some(s)) if s.kind == Release => ClaimVerdict::Recorded,
         (Done, Some(s)) if s.request == step.request => ClaimVerdict::Recorded,
@@ -344,15 +344,15 @@
         (Claim, Some(s)) if s.request == step.request && s.kind == Claim => ClaimVerdict::Recorded,
         (_, Some(s)) if s.kind == Done && s.outcome == 0 => ClaimVerdict::Unknown,
         (_, Some(s)) if s.kind == Done => ClaimVerdict::Ran(s.outcome),
-        (_, Some(s)) if age_s(&s) >= RUNNING_S => ClaimVerdict::Unknown,
+        (_, Some(s)) if age_s(&s) >= RUNNING_TIMEOUT_S => ClaimVerdict::Unknown,
         (_, Some(_)) => ClaimVerdict::Running,
         (_, None) => ClaimVerdict::NotRecorded,
     }
 }
 
 /// Whether a step is recorded already, as when it is repeated because its answer was lost.
-fn repeats(known: Option<Standing>, step: &ClaimStep) -> bool {
+fn is_recorded(known: Option<KeyState>, step: &ClaimStep) -> bool {
     let is_same =
-        |s: Standing| (s.request, s.kind, s.outcome) == (step.request, step.kind, step.outcome);
+        |s: KeyState| (s.request, s.kind, s.outcome) == (step.request, step.kind, step.outcome);
     known.is_some_and(is_same)
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -21,7 +21,7 @@
     units::{Instant, StoreRevision},
 };
 pub use crate::{
-    list_change::{Changes, ListChange, Verdict},
+    list_change::{Changes, ListChange, TargetChange},
     target_record::{TargetRecord, TargetState},
 };
 
@@ -34,26 +34,26 @@
 /// unavailable; where only a few are missing, those targets left. After a restart of all routers
 /// that follows an outage, calls earn 0.82 of their worth instead of 0.78 (mean of six seeds), as
 /// prompts are found at the targets that read them.
-const LAPSED_PART: f64 = 0.25;
+const MIN_LAPSED_FRACTION: f64 = 0.25;
 
 /// Number of targets of a service below which all of them are saved for routers that start.
-const FEW_TARGETS: usize = 512;
+const SMALL_SERVICE_TARGETS: usize = 512;
 
 /// Number of removals that are remembered in addition to a fraction of the targets, so that older
 /// changes of the same entries are ignored. It is several times the number of targets that leave
 /// within the seconds that a change may take to arrive.
-const REMOVED_KEPT: usize = 1024;
+const MIN_REMOVALS_KEPT: usize = 1024;
 
 /// Divisor of the number of targets that gives this fraction: a quarter may leave within these
 /// seconds.
-const REMOVED_PART: usize = 4;
+const REMOVALS_KEPT_DIVISOR: usize = 4;
 
 /// Number of changes that arrive together above which all targets are indexed again.
-const CHANGES_APART: usize = 256;
+const REINDEX_THRESHOLD: usize = 256;
 
 /// An entry of the list.
 #[derive(Debug)]
-struct Listed {
+struct ListedTarget {
     record: Rc<TargetRecord>,
     revision: StoreRevision,
     /// When an entry that went missing ceases to count; `None` if it is not missing.
@@ -63,7 +63,7 @@
 /// The list of targets as this router knows it.
 #[derive(Debug, Default)]
 pub struct Discovery {
-    targets: BTreeMap<TargetName, Listed>,
+    targets: BTreeMap<TargetName, ListedTarget>,
     /// Entries that were removed, each with the write that removed it.
     removed: HashMap<TargetName, StoreRevision>,
     pools: Pools,
@@ -84,13 +84,13 @@
 
 impl Discovery {
     /// Whether a list was ever read.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.known
     }
 
     /// Handles the return of the store after an outage, `ago` before now. That may have been before
     /// this router started.
-    pub fn on_store_back(&mut self, now: Instant, ago: Duration) {
+    pub fn on_store_available(&mut self, now: Instant, ago: Duration) {
         let until = (now + RETURN_GRACE).before(ago);
         self.grace_until = self.grace_until.max(Some(until));
     }
@@ -98,9 +98,9 @@
     /// Handles a store that was reverted to an older copy. Lost entries are written again within
     /// [`RETURN_GRACE`]. Until then, lists of the store undo nothing that was known before, as a
     /// target that left would get calls again.
-    pub fn on_set_back(&mut self, now: Instant) {
+    pub fn on_store_reverted(&mut self, now: Instant) {
         self.settles_at = Some(now + RETURN_GRACE);
-        self.on_store_back(now, Duration::ZERO);
+        self.on_store_available(now, Duration::ZERO);
     }
 
     /// Returns, once, whether the time after a reversion of the store is over. The content of the
@@ -114,7 +114,7 @@
     }
 
     /// Whether a listed entry undoes what was known from an earlier era of the store.
-    fn takes_back(&self, record: &TargetRecord, at: StoreRevision) -> bool {
+    fn contradicts_known(&self, record: &TargetRecord, at: StoreRevision) -> bool {
         let is_earlier = |known: StoreRevision| known.era < at.era;
         let name = record.id.to_name();
         match self.targets.get(&name) {
@@ -148,7 +148,7 @@
                 ListChange::Unusable(name) => self.drop_unusable(name, revision),
             });
         }
-        match changes.len() > CHANGES_APART {
+        match changes.len() > REINDEX_THRESHOLD {
             true => self.index(),
             false => changes.iter().for_each(|(id, _)| self.index_one(id)),
         }
@@ -166,11 +166,11 @@
         let listed: HashSet<TargetName> = list.iter().map(|(r, _)| r.id.to_name()).collect();
         let mut changes = Changes::new();
         for (record, at) in list {
-            if self.settles_at.is_none() || !self.takes_back(&record, at) {
+            if self.settles_at.is_none() || !self.contradicts_known(&record, at) {
                 changes.extend(self.put(now, record, at));
             }
         }
-        let is_newer = |l: &Listed| l.revision > revision;
+        let is_newer = |l: &ListedTarget| l.revision > revision;
         let missing: Vec<TargetName> = self
             .targets
             .iter()
@@ -187,20 +187,20 @@
     /// Applies the targets that were saved before this router started, after its first list. Where
     /// many of them are missing from that list, their entries expired while the store was
     /// unavailable, and they count for [`RETURN_GRACE`]; returns these.
-    pub fn on_recalled(&mut self, now: Instant, saved: Vec<TargetRecord>) -> Vec<TargetId> {
+    pub fn on_saved_targets(&mut self, now: Instant, saved: Vec<TargetRecord>) -> Vec<TargetId> {
         let all = saved.len() as f64;
         let is_ready = |r: &TargetRecord| r.state == TargetState::Ready;
         let missing = saved.into_iter().filter(is_ready);
         // A target that restarted is listed under its name, though as another instance.
         let missing = missing.filter(|r| !self.targets.contains_key(r.id.name()));
         let missing: Vec<TargetRecord> = missing.collect();
-        if missing.is_empty() || (missing.len() as f64) < all * LAPSED_PART {
+        if missing.is_empty() || (missing.len() as f64) < all * MIN_LAPSED_FRACTION {
             return Vec::new();
         }
         let ids = missing.iter().map(|r| r.id.clone()).collect();
         for record in missing {
             self.note_cold(now, &record);
-            let listed = Listed {
+            let listed = ListedTarget {
                 record: Rc::new(record),
                 // Every write of the store is newer.
                 revision: StoreRevision::default(),
@@ -215,8 +215,9 @@
     /// Returns the targets to save for routers that start: those that have read prompts, and all
     /// targets of services with few. So the saved data does not grow with the number of targets in
     /// the fleet.
-    pub fn worth_keeping(&self, has_read: impl Fn(&TargetId) -> bool) -> Vec<TargetRecord> {
-        let is_of_small_service = |t: &TargetRecord| self.serving(&t.service).len() < FEW_TARGETS;
+    pub fn targets_to_save(&self, has_read: impl Fn(&TargetId) -> bool) -> Vec<TargetRecord> {
+        let is_of_small_service =
+            |t: &TargetRecord| self.serving(&t.service).len() < SMALL_SERVICE_TARGETS;
         let to_save = self
             .all()
             .filter(|t| has_read(&t.id) || is_of_small_service(t));
@@ -225,7 +226,7 @@
 
     /// Applies the whole list from the operators' configuration. A target that is not on it is gone
     /// for certain, so that no grace period applies.
-    pub fn on_stated(
+    pub fn on_configured_list(
         &mut self,
         now: Instant,
         list: Vec<TargetRecord>,
@@ -244,7 +245,7 @@
         if self.missing_until.is_none_or(|until| now < until) {
             return Vec::new();
         }
-        let is_expired = |l: &mut Listed| l.missing_until.is_some_and(|until| now >= until);
+        let is_expired = |l: &mut ListedTarget| l.missing_until.is_some_and(|until| now >= until);
         let expired = self.targets.extract_if(.., |_, listed| is_expired(listed));
         let expired: Vec<TargetId> = expired.map(|(_, l)| l.record.id.clone()).collect();
         self.index();
@@ -253,7 +254,7 @@
 
     /// Handles a write that evacuates a data hall or takes it back into service; returns whether
     /// that changes the hall's state.
-    pub fn on_hall(
+    pub fn on_hall_change(
         &mut self,
         now: Instant,
         hall: DataHall,
@@ -270,7 +271,7 @@
 
     /// Applies the list of all data halls that are evacuated as of `revision`; returns the halls
     /// whose state changed.
-    pub fn on_halls(
+    pub fn on_hall_list(
         &mut self,
         now: Instant,
         list: Vec<(DataHall, StoreRevision)>,
@@ -350,18 +351,18 @@
         let verdict = match before {
             Some(l) if l.revision > revision => return Changes::new(),
             Some(l) if *l.record == record && l.missing_until.is_none() => return Changes::new(),
-            _ if record.state == TargetState::Leaving => Verdict::Leaving,
-            Some(_) if former.is_none() => Verdict::Changed,
-            _ => Verdict::Added,
+            _ if record.state == TargetState::Leaving => TargetChange::Leaving,
+            Some(_) if former.is_none() => TargetChange::Changed,
+            _ => TargetChange::Added,
         };
         self.note_cold(now, &record);
-        let listed = Listed {
+        let listed = ListedTarget {
             record: Rc::new(record),
             revision,
             missing_until: None,
         };
         self.targets.insert(name, listed);
-        let restarted = former.map(|former| (former, Verdict::Restarted));
+        let restarted = former.map(|former| (former, TargetChange::Restarted));
         restarted.into_iter().chain([(id, verdict)]).collect()
     }
 
@@ -379,12 +380,12 @@
                 listed.revision = revision;
                 let first = self.missing_until.unwrap_or(until);
                 self.missing_until = Some(first.min(until));
-                vec![(id, Verdict::Kept)]
+                vec![(id, TargetChange::Kept)]
             }
             _ => {
                 self.targets.remove(&name);
                 self.remember_removed(name, revision);
-                vec![(id, Verdict::Gone)]
+                vec![(id, TargetChange::Gone)]
             }
         }
     }
@@ -392,18 +393,18 @@
     /// Removes a target whose entry became unusable. Its former entry no longer applies, also right
     /// after an outage of the store.
     fn drop_unusable(&mut self, name: TargetName, revision: StoreRevision) -> Changes {
-        let is_older = |l: &&Listed| l.revision <= revision;
+        let is_older = |l: &&ListedTarget| l.revision <= revision;
         let Some(listed) = self.targets.get(&name).filter(is_older) else {
             return Changes::new();
         };
         let id = listed.record.id.clone();
         self.targets.remove(&name);
         self.remember_removed(name, revision);
-        vec![(id, Verdict::Unusable)]
+        vec![(id, TargetChange::Unusable)]
     }
 
     fn remember_removed(&mut self, name: TargetName, revision: StoreRevision) {
-        if self.removed.len() >= REMOVED_KEPT + self.targets.len() / REMOVED_PART {
+        if self.removed.len() >= MIN_REMOVALS_KEPT + self.targets.len() / REMOVALS_KEPT_DIVISOR {
             let oldest = self.removed.iter().min_by_key(|(_, r)| **r);
             let oldest = oldest.map(|(name, _)| name.clone());
             oldest.map(|name| self.removed.remove(&name));
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -174,7 +174,7 @@
         // Without this filter, 151 of 444 attempts within 7 s failed at three of nine targets that backed
         // off, and calls were sent for 12 s to a target that was leaving (counted from log lines of
         // attempts).
-        let targets = self.withdrawals.without(now, serving);
+        let targets = self.withdrawals.accepting(now, serving);
         ScoredTargets {
             targets: targets.into_iter().cloned().collect(),
             sample_len: None,
@@ -302,7 +302,7 @@
     /// `NoTarget`, as the other reasons hold only for a while.
     fn placement_error(&mut self, now: Instant, service: &ServiceName) -> PlacementError {
         let serving = self.discovery.serving(service);
-        let reason = match self.withdrawals.none_of(now, serving) {
+        let reason = match self.withdrawals.all_withdrawn(now, serving) {
             Some(reason) if !serving.is_empty() => reason,
             _ if self.discovery.is_evacuated(service) => PlacementError::AllEvacuated,
             _ => return PlacementError::NoTarget,
@@ -319,7 +319,7 @@
         target: &TargetId,
         withdrawal: Withdrawal,
     ) -> bool {
-        let is_news = self.withdrawals.on_said(now, target, withdrawal);
+        let is_news = self.withdrawals.on_withdrawal(now, target, withdrawal);
         // Peers are notified, so that they prefer other targets too. When a third of the targets back off,
         // 9,300 to 23,400 attempts are turned away until each of hundreds of routers has tried each of
         // these targets, and 630 to 2,260 with the notification (`tests/load/withdrawals.rs`).
@@ -339,7 +339,7 @@
         draw: f64,
     ) -> Duration {
         match self.backoff_remaining(now, service) {
-            Some(backoff) => withdrawals::come_back(backoff, draw),
+            Some(backoff) => withdrawals::retry_after(backoff, draw),
             None => self.admission.come_back(now, service, left, draw),
         }
     }
@@ -348,7 +348,7 @@
     /// calls now, or if all are leaving.
     pub fn backoff_remaining(&self, now: Instant, service: &ServiceName) -> Option<Duration> {
         let serving = self.discovery.serving(service);
-        match self.withdrawals.none_of(now, serving)? {
+        match self.withdrawals.all_withdrawn(now, serving)? {
             PlacementError::AllBackedOff { left } => Some(left),
             _ => None,
         }
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -15,7 +15,7 @@
     discovery::{TargetRecord, TargetState},
     fingerprint::Fingerprint,
     ids::TargetId,
-    quarantine::{Change, EndingNotice, HELD_FOR, HeldNotice},
+    quarantine::{Change, CrashNotice, QUARANTINE_DURATION, QuarantineNotice},
     store::own,
     units::Instant,
 };
@@ -93,7 +93,7 @@
     for BrokenOff { call, request } in broken_off {
         let change = {
             let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
-            quarantine.on_ending(now, *request, target.into())
+            quarantine.on_crash(now, *request, target.into())
         };
         info!(cx.log, "target ended under a call"; "id" => call, "fingerprint" => %request, "target" => %target,
             "calls" => broken_off.len());
@@ -125,13 +125,18 @@
 }
 
 /// A peer told of targets that ended under requests, and which requests it holds back.
-pub(super) fn on_peer(cx: &Gateway, now: Instant, ended: &[EndingNotice], held: &[HeldNotice]) {
+pub(super) fn on_peer(
+    cx: &Gateway,
+    now: Instant,
+    ended: &[CrashNotice],
+    held: &[QuarantineNotice],
+) {
     let (by_endings, by_peer) = {
         let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
-        let by_endings = quarantine.on_notices(now, ended);
-        (by_endings, quarantine.on_held_notices(now, held))
+        let by_endings = quarantine.on_crash_notices(now, ended);
+        (by_endings, quarantine.on_quarantine_notices(now, held))
     };
-    let change = Some(Change::HeldBack);
+    let change = Some(Change::Quarantined);
     for request in by_endings {
         log_change(cx, request, change, "endings announced by peers");
     }
@@ -145,13 +150,13 @@
     let now = cx.now();
     let let_through = cx.dispatcher.borrow_mut().quarantine.on_tick(now);
     for request in let_through {
-        log_change(cx, request, Some(Change::LetThrough), "its time is over");
+        log_change(cx, request, Some(Change::Released), "its time is over");
     }
     let is_keeper = |request: Fingerprint| {
         let peers = cx.peers.borrow();
         peers.is_keeper_of(now, &request.to_string())
     };
-    if (cx.dispatcher.borrow_mut().quarantine).on_keeper(is_keeper) {
+    if (cx.dispatcher.borrow_mut().quarantine).mark_unsaved(is_keeper) {
         cx.endings.unsaved.notify_one();
     }
 }
@@ -160,7 +165,7 @@
 pub(super) fn held_back(cx: &Gateway, request: Fingerprint) -> Option<Duration> {
     let now = cx.now();
     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
-    let held_for = quarantine.held_for(now, request)?;
+    let held_for = quarantine.time_left(now, request)?;
     quarantine.on_refused(now, request);
     if !quarantine.unsaved().is_empty() {
         cx.endings.unsaved.notify_one();
@@ -172,11 +177,11 @@
 pub(super) fn log_change(cx: &Gateway, request: Fingerprint, change: Option<Change>, why: &str) {
     let verdict = match change {
         None => return,
-        Some(Change::HeldBack) => "held back",
-        Some(Change::LetThrough) => "let through",
+        Some(Change::Quarantined) => "held back",
+        Some(Change::Released) => "let through",
     };
     let dispatcher = cx.dispatcher.borrow();
-    let held = dispatcher.quarantine.held(cx.now()).count();
+    let held = dispatcher.quarantine.quarantined(cx.now()).count();
     cx.metrics.held_requests.set(held as i64);
     info!(cx.log, "request"; "fingerprint" => %request, "verdict" => verdict, "why" => why,
         "held_back" => held, "suspects" => dispatcher.quarantine.suspect_count());
@@ -194,7 +199,7 @@
             cx.metrics.on_store_call("held");
             let key = own::held_key(request);
             let by = cx.cfg.vm.to_string().into_bytes();
-            match cx.store.put_for(&key, by, HELD_FOR).await {
+            match cx.store.put_for(&key, by, QUARANTINE_DURATION).await {
                 Ok(()) => {
                     let now = cx.now();
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -89,8 +89,8 @@
     let evacuated = config.evacuated.iter().map(|hall| (hall.clone(), at));
     let (halls, changes) = {
         let discovery = &mut cx.dispatcher.borrow_mut().discovery;
-        let halls = discovery.on_halls(now, evacuated.collect(), at);
-        (halls, discovery.on_stated(now, targets, at))
+        let halls = discovery.on_hall_list(now, evacuated.collect(), at);
+        (halls, discovery.on_configured_list(now, targets, at))
     };
     for hall in halls {
         super::news::log_hall(cx, &hall, at);
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -225,7 +225,7 @@
         if let Some(lost_at) = cx.store_lost_at.take() {
             cx.store_back_at.set(Some(now));
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
-            discovery.on_store_back(now, Duration::ZERO);
+            discovery.on_store_available(now, Duration::ZERO);
             let away = now.since(lost_at).as_millis() as u64;
             info!(cx.log, "dependency regained"; "dependency" => "store", "away_ms" => away);
         }
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -23,7 +23,7 @@
     dispatcher::Dispatcher,
     explain::{Decision, ExplainRing},
     ids::{Incarnation, Revision, ServiceName},
-    lifecycle::{Phase, RouterEvent, RouterLife},
+    lifecycle::{Phase, RouterEvent, RouterLifecycle},
     log::LogFlusher,
     membership::peers::Peers,
     retry::FleetShare,
@@ -87,7 +87,7 @@
     pub(crate) store_back_at: Cell<Option<Instant>>,
     /// The youngest moment at which the store is known to have held what the mirror holds.
     pub(crate) store_proven_at: Cell<Option<Instant>>,
-    life: RefCell<RouterLife>,
+    life: RefCell<RouterLifecycle>,
     serving: RefCell<Option<Rc<ServingConfig>>>,
     /// The number of the operators' configuration that the store was last known to hold.
     pub(super) stored_config: Cell<Option<ConfigVersion>>,
@@ -166,7 +166,7 @@
     pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving
             && self.serving().is_some()
-            && self.dispatcher.borrow().discovery.is_known()
+            && self.dispatcher.borrow().discovery.is_loaded()
             && self.may_use_keys(self.now())
     }
 
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -243,8 +243,8 @@
         suspected: cx.dispatcher.borrow().health.suspected_here(now),
         halls: Vec::new(),
         outages: cx.dispatcher.borrow().health.outages.notices(now),
-        endings: cx.dispatcher.borrow().quarantine.notices(now),
-        held: cx.dispatcher.borrow().quarantine.held_notices(now),
+        endings: cx.dispatcher.borrow().quarantine.crash_notices(now),
+        held: cx.dispatcher.borrow().quarantine.quarantine_notices(now),
         rolls: Vec::new(),
         exchange: None,
         rates: Vec::new(),
@@ -308,7 +308,7 @@
     let mut dispatcher = cx.dispatcher.borrow_mut();
     if let Some(ago) = told.store_back {
         let ago = Duration::from_millis(u64::from(ago));
-        dispatcher.discovery.on_store_back(now, ago);
+        dispatcher.discovery.on_store_available(now, ago);
     }
     let admission = &mut dispatcher.admission;
     admission.on_rates(now, &told.vm, &told.hall, told.rates);
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -7,7 +7,7 @@
 use super::{endings, fleet, gateway::Gateway, prompts};
 use crate::{
     config::serving::ServingConfig,
-    discovery::{Changes, ListChange, RETURN_GRACE, Verdict},
+    discovery::{Changes, ListChange, RETURN_GRACE, TargetChange},
     ids::{DataHall, TargetId, TargetName},
     store::{
         StoreChange, StoreItem, StoreNews,
@@ -42,7 +42,7 @@
     let known = cx.mirror.borrow().revision();
     cx.metrics.store_era.set(known.era.0.cast_signed());
     cx.metrics.store_revision.set(known.number.cast_signed());
-    let is_first = !cx.dispatcher.borrow().discovery.is_known();
+    let is_first = !cx.dispatcher.borrow().discovery.is_loaded();
     let saved = take_own(cx, &news.items, is_list);
     if is_list {
         cx.stored_config.set(None);
@@ -71,7 +71,7 @@
         let (halls, changes) = {
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
             // Targets of an evacuated hall must not be used for a moment.
-            let halls = discovery.on_halls(now, evacuated, news.revision);
+            let halls = discovery.on_hall_list(now, evacuated, news.revision);
             (halls, discovery.on_list(now, list, news.revision))
         };
         for hall in halls {
@@ -92,10 +92,10 @@
     let settled_at = cx.now() + RETURN_GRACE;
     cx.freshness.borrow_mut().on_set_back(settled_at);
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    dispatcher.quarantine.on_set_back();
+    dispatcher.quarantine.on_store_reverted();
     dispatcher.cache.on_store_reverted();
     if !cx.cfg.own_config {
-        dispatcher.discovery.on_set_back(cx.now());
+        dispatcher.discovery.on_store_reverted(cx.now());
     }
 }
 
@@ -193,7 +193,7 @@
 fn log_targets(cx: &Gateway, changes: &Changes, at: StoreRevision) {
     let is_many = changes.len() > TARGETS_NAMED;
     for (id, verdict) in changes {
-        match is_many && !verdict.is_end() {
+        match is_many && !verdict.ends_instance() {
             true => {}
             false => log_target(cx, id, *verdict, at),
         }
@@ -214,7 +214,7 @@
 fn on_hall(cx: &Gateway, now: Instant, hall: DataHall, is_evacuated: bool, at: StoreRevision) {
     let changed = {
         let discovery = &mut cx.dispatcher.borrow_mut().discovery;
-        discovery.on_hall(now, hall.clone(), is_evacuated, at)
+        discovery.on_hall_change(now, hall.clone(), is_evacuated, at)
     };
     if changed {
         log_hall(cx, &hall, at);
@@ -237,8 +237,8 @@
 }
 
 /// Logs what became of a target's entry, and closes connections to a life of it that is over.
-pub(super) fn log_target(cx: &Gateway, id: &TargetId, verdict: Verdict, at: StoreRevision) {
-    if verdict.is_end() {
+pub(super) fn log_target(cx: &Gateway, id: &TargetId, verdict: TargetChange, at: StoreRevision) {
+    if verdict.ends_instance() {
         cx.conns.forget(id);
     }
     info!(cx.log, "target"; "target" => %id, "verdict" => verdict.name(), "revision" => at.number);
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -56,7 +56,7 @@
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
     let lapsed = match is_first && !cx.cfg.own_config {
-        true => dispatcher.discovery.on_recalled(now, saved.targets),
+        true => dispatcher.discovery.on_saved_targets(now, saved.targets),
         false => Vec::new(),
     };
     for (service, held) in &saved.held {
@@ -97,7 +97,7 @@
     let held = dispatcher.admission.learned();
     Saved {
         prompts: PromptSnapshot::new(&dispatcher.cache.shared_parts()),
-        targets: dispatcher.discovery.worth_keeping(has_read),
+        targets: dispatcher.discovery.targets_to_save(has_read),
         held: held.map(|(s, held)| (s.clone(), held)).collect(),
     }
 }
--- a/src/edge/stop.rs
+++ b/src/edge/stop.rs
@@ -51,7 +51,7 @@
     info!(cx.log, "stop asked for"; "in_progress" => cx.in_progress.get());
     cx.on_life(RouterEvent::Stop);
     cx.clock.sleep_until(began + cx.rules.get().serve_on).await;
-    cx.on_life(RouterEvent::BalancerKnows);
+    cx.on_life(RouterEvent::BalancerNotified);
     let in_progress = cx.in_progress.get() as u64;
     gossip::send_to_all(cx, udp, &[]);
     let limit = cx.rules.get().stop_time.mul_f64(LAST_PART);
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -149,7 +149,7 @@
 
 fn held_back(cx: &Gateway) -> Vec<HeldRequest> {
     let dispatcher = cx.dispatcher.borrow();
-    let held = dispatcher.quarantine.held(cx.now());
+    let held = dispatcher.quarantine.quarantined(cx.now());
     let shown = held.map(|(request, held_for)| HeldRequest {
         fingerprint: request.to_string(),
         for_ms: held_for.as_millis() as u64,
--- a/src/evacuation.rs
+++ b/src/evacuation.rs
@@ -13,7 +13,7 @@
 
 /// Latest statement on one data hall.
 #[derive(Debug, Clone, Copy)]
-struct Stated {
+struct HallStatement {
     /// Write of the store that made the statement.
     revision: StoreRevision,
     /// When this router learned that the hall was evacuated or taken back.
@@ -24,7 +24,7 @@
 /// Latest statements on all data halls.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    halls: BTreeMap<DataHall, Stated>,
+    halls: BTreeMap<DataHall, HallStatement>,
 }
 
 impl Evacuations {
@@ -45,7 +45,7 @@
         }
         let is_change = before.is_none_or(|b| b.is_evacuated != is_evacuated);
         let at = before.filter(|_| !is_change).map_or(now, |b| b.at);
-        let statement = Stated {
+        let statement = HallStatement {
             revision,
             at,
             is_evacuated,
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -8,7 +8,7 @@
     /// A planned stop was requested.
     Stop,
     /// The load balancer has had time to detect the stop.
-    BalancerKnows,
+    BalancerNotified,
     /// No calls are in progress any more, or the time limit of the stop is reached.
     Finished,
 }
@@ -38,15 +38,15 @@
     }
 }
 
-/// State machine behind [`RouterLife`].
+/// State machine behind [`RouterLifecycle`].
 #[derive(Debug, Default)]
-struct LifeMachine;
+struct LifecycleMachine;
 
 #[state_machine(
     initial = "State::serving()",
     state(derive(Debug, Clone, Copy, PartialEq, Eq))
 )]
-impl LifeMachine {
+impl LifecycleMachine {
     #[state]
     fn serving(event: &RouterEvent) -> Outcome<State> {
         match event {
@@ -58,7 +58,7 @@
     #[state]
     fn leaving(event: &RouterEvent) -> Outcome<State> {
         match event {
-            RouterEvent::BalancerKnows => Transition(State::refusing()),
+            RouterEvent::BalancerNotified => Transition(State::refusing()),
             RouterEvent::Finished => Transition(State::gone()),
             RouterEvent::Stop => Handled,
         }
@@ -80,19 +80,19 @@
 }
 
 /// Lifecycle of a router.
-pub(crate) struct RouterLife {
-    machine: statig::blocking::StateMachine<LifeMachine>,
+pub(crate) struct RouterLifecycle {
+    machine: statig::blocking::StateMachine<LifecycleMachine>,
 }
 
-impl Default for RouterLife {
+impl Default for RouterLifecycle {
     fn default() -> Self {
         Self {
-            machine: LifeMachine.state_machine(),
+            machine: LifecycleMachine.state_machine(),
         }
     }
 }
 
-impl RouterLife {
+impl RouterLifecycle {
     /// Handles an event.
     pub(crate) fn on(&mut self, event: RouterEvent) {
         self.machine.handle(&event);
--- a/src/list_change.rs
+++ b/src/list_change.rs
@@ -17,11 +17,11 @@
 }
 
 /// Targets that changed, each with the effect of the change.
-pub type Changes = Vec<(TargetId, Verdict)>;
+pub type Changes = Vec<(TargetId, TargetChange)>;
 
 /// Effect of a change on a target, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum TargetChange {
     /// The target is used from now on.
     Added,
     /// The target's entry changed.
@@ -39,9 +39,9 @@
     Kept,
 }
 
-impl Verdict {
+impl TargetChange {
     /// Whether this instance of the target is not used any more.
-    pub fn is_end(self) -> bool {
+    pub fn ends_instance(self) -> bool {
         matches!(self, Self::Gone | Self::Restarted | Self::Unusable)
     }
 
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -163,7 +163,7 @@
         AnswerFacts {
             sealed: true,
             refused: says_not_run.then_some(Refused::ByTarget),
-            withdrawal: Withdrawal::said(leaving, backoff.filter(|_| turned_away)),
+            withdrawal: Withdrawal::from_headers(leaving, backoff.filter(|_| turned_away)),
             closing: closing.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close")),
             ..AnswerFacts::default()
         }
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -18,51 +18,51 @@
 /// Number of crashes under a request from which on it is quarantined; the users' rule allows three.
 /// With a threshold of two, three calls that ran beside such requests would have been quarantined
 /// as well (by the log lines of attempts of a day with some sixty crashes).
-const ENDED: usize = 3;
+const CRASHES_TO_QUARANTINE: usize = 3;
 
 /// Duration of a quarantine from its start or last renewal, and time for which a crash counts
 /// towards one. It is the longest lease of the users' store.
-pub const HELD_FOR: Duration = Duration::from_mins(10);
+pub const QUARANTINE_DURATION: Duration = Duration::from_mins(10);
 
 /// Time left of a quarantine from which on its entry in the store is renewed if the request still
 /// arrives.
-const RENEWED_AT: Duration = Duration::from_mins(5);
+const RENEWAL_THRESHOLD: Duration = Duration::from_mins(5);
 
 /// Time after an answer for which crashes are not attributed to the request: its targets survive
 /// it, and several that run it at once may crash for another reason.
-const ANSWER_COUNTS: Duration = Duration::from_mins(1);
+const ANSWER_TTL: Duration = Duration::from_mins(1);
 
 /// Time within which crashes of one target are the same crash: a target that restarted under its
 /// name does not crash again that soon.
-const SAME_ENDING: Duration = Duration::from_millis(500);
+const SAME_CRASH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time for which a crash is announced to peers: several heartbeats, of which one arrives.
-const ANNOUNCED_FOR: Duration = Duration::from_millis(1_500);
+const ANNOUNCE_DURATION: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of crashes in one datagram, at some 14 bytes each.
-const NOTICES: usize = 48;
+const MAX_CRASH_NOTICES: usize = 48;
 
 /// Maximum number of quarantined requests in one datagram, at some 12 bytes each.
-const HELD_NOTICES: usize = 32;
+const MAX_QUARANTINE_NOTICES: usize = 32;
 
 /// Maximum number of suspected requests that are remembered. With the two limits below, these take
 /// some hundred kilobytes.
-const SUSPECTS: usize = 2_048;
+const MAX_SUSPECTS: usize = 2_048;
 /// Maximum number of quarantined requests that are remembered.
-const HELD: usize = 512;
+const MAX_QUARANTINED: usize = 512;
 /// Maximum number of answered requests that are remembered.
-const ANSWERED: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
+const MAX_ANSWERED: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
 
 /// A crash of a target while it ran a request.
 #[derive(Debug, Clone, Copy)]
-struct Ending {
+struct Crash {
     target: TargetHash,
     at: Instant,
 }
 
 /// A crash as routers announce it to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndingNotice {
+pub struct CrashNotice {
     fingerprint: Fingerprint,
     target: TargetHash,
     /// Time since the crash was found, in milliseconds.
@@ -72,7 +72,7 @@
 /// A quarantined request that is not known to be in the store, as routers announce it to one
 /// another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldNotice {
+pub struct QuarantineNotice {
     fingerprint: Fingerprint,
     /// Time left of the quarantine, in seconds.
     left_s: u16,
@@ -80,7 +80,7 @@
 
 /// Quarantine of one request.
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct QuarantineEntry {
     until: Instant,
     /// Whether this router has to write the request's entry to the store.
     is_unsaved: bool,
@@ -92,17 +92,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// The request is quarantined from now on.
-    HeldBack,
+    Quarantined,
     /// The request is accepted again.
-    LetThrough,
+    Released,
 }
 
 /// Requests that are suspected of crashing targets, quarantined, or known to be harmless by an
 /// answer.
 #[derive(Debug)]
 pub struct Quarantine {
-    suspects: FxHashMap<Fingerprint, Vec<Ending>>,
-    held: FxHashMap<Fingerprint, Held>,
+    suspects: FxHashMap<Fingerprint, Vec<Crash>>,
+    quarantined: FxHashMap<Fingerprint, QuarantineEntry>,
     answered: LruCache<Fingerprint, Instant>,
     unannounced: bool,
 }
@@ -111,8 +111,8 @@
     fn default() -> Self {
         Self {
             suspects: FxHashMap::default(),
-            held: FxHashMap::default(),
-            answered: LruCache::new(ANSWERED),
+            quarantined: FxHashMap::default(),
+            answered: LruCache::new(MAX_ANSWERED),
             unannounced: false,
         }
     }
@@ -120,18 +120,21 @@
 
 impl Quarantine {
     /// Returns the time left of a request's quarantine; `None` where the request may be sent.
-    pub fn held_for(&self, now: Instant, request: Fingerprint) -> Option<Duration> {
-        let entry = self.held.get(&request).filter(|entry| now < entry.until)?;
+    pub fn time_left(&self, now: Instant, request: Fingerprint) -> Option<Duration> {
+        let entry = self
+            .quarantined
+            .get(&request)
+            .filter(|entry| now < entry.until)?;
         Some(entry.until.since(now))
     }
 
     /// Handles the rejection of a quarantined request: its entry in the store is renewed if little
     /// time is left.
     pub fn on_refused(&mut self, now: Instant, request: Fingerprint) {
-        let Some(entry) = self.held.get_mut(&request) else {
+        let Some(entry) = self.quarantined.get_mut(&request) else {
             return;
         };
-        entry.is_unsaved |= entry.until.since(now) <= RENEWED_AT;
+        entry.is_unsaved |= entry.until.since(now) <= RENEWAL_THRESHOLD;
     }
 
     /// Handles an answer to a request, whatever its content, from a target that keeps running: the
@@ -139,26 +142,26 @@
     pub fn on_answered(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
         self.answered.put(request, now);
         self.suspects.remove(&request);
-        let was_quarantined = self.held.remove(&request).is_some();
-        was_quarantined.then_some(Change::LetThrough)
+        let was_quarantined = self.quarantined.remove(&request).is_some();
+        was_quarantined.then_some(Change::Released)
     }
 
     /// Whether a crash of a target may be attributed to a request.
     pub fn may_suspect(&self, now: Instant, request: Fingerprint) -> bool {
         let answered = self.answered.peek(&request);
-        answered.is_none_or(|at| now.since(*at) > ANSWER_COUNTS)
+        answered.is_none_or(|at| now.since(*at) > ANSWER_TTL)
     }
 
     /// Handles a crash of a target while it ran a request that this router sent to it.
-    pub fn on_ending(
+    pub fn on_crash(
         &mut self,
         now: Instant,
         request: Fingerprint,
         target: TargetHash,
     ) -> Option<Change> {
-        let change = self.find(now, now, request, target);
+        let change = self.record_crash(now, now, request, target);
         // Only the few routers that saw a crash themselves write the entry.
-        if let Some(entry) = self.held.get_mut(&request) {
+        if let Some(entry) = self.quarantined.get_mut(&request) {
             entry.is_unsaved |= change.is_some();
         }
         change
@@ -166,11 +169,11 @@
 
     /// Handles crashes that a peer announced, whether it saw them itself or not. Returns the
     /// requests that are quarantined as a result.
-    pub fn on_notices(&mut self, now: Instant, notices: &[EndingNotice]) -> Vec<Fingerprint> {
+    pub fn on_crash_notices(&mut self, now: Instant, notices: &[CrashNotice]) -> Vec<Fingerprint> {
         let mut quarantined = Vec::new();
         for notice in notices {
             let at = now.before(Duration::from_millis(u64::from(notice.age_ms)));
-            let change = self.find(now, at, notice.fingerprint, notice.target);
+            let change = self.record_crash(now, at, notice.fingerprint, notice.target);
             quarantined.extend(change.map(|_| notice.fingerprint));
         }
         quarantined
@@ -178,24 +181,30 @@
 
     /// Handles an entry in the store, which quarantines a request at all routers.
     pub fn on_stored(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
-        let was_quarantined = self.hold(now + HELD_FOR, request);
-        if let Some(entry) = self.held.get_mut(&request) {
+        let was_quarantined = self.quarantine_until(now + QUARANTINE_DURATION, request);
+        if let Some(entry) = self.quarantined.get_mut(&request) {
             entry.is_stored = true;
         }
-        (!was_quarantined).then_some(Change::HeldBack)
+        (!was_quarantined).then_some(Change::Quarantined)
     }
 
     /// Handles quarantined requests that a peer does not know to be in the store. Returns those
     /// that are quarantined here as a result.
-    pub fn on_held_notices(&mut self, now: Instant, notices: &[HeldNotice]) -> Vec<Fingerprint> {
+    pub fn on_quarantine_notices(
+        &mut self,
+        now: Instant,
+        notices: &[QuarantineNotice],
+    ) -> Vec<Fingerprint> {
         let mut quarantined = Vec::new();
-        for HeldNotice {
+        for QuarantineNotice {
             fingerprint,
             left_s,
         } in notices
         {
-            let left = Duration::from_secs(u64::from(*left_s)).min(HELD_FOR);
-            if self.may_suspect(now, *fingerprint) && !self.hold(now + left, *fingerprint) {
+            let left = Duration::from_secs(u64::from(*left_s)).min(QUARANTINE_DURATION);
+            if self.may_suspect(now, *fingerprint)
+                && !self.quarantine_until(now + left, *fingerprint)
+            {
                 quarantined.push(*fingerprint);
             }
         }
@@ -206,23 +215,30 @@
     /// unavailable or slow; those with the most time left come first. Without these notices,
     /// routers that start in the meantime would send such a request on, and targets would crash
     /// under it again.
-    pub fn held_notices(&self, now: Instant) -> Vec<HeldNotice> {
-        let unstored = self.held.iter().filter(|(_, entry)| !entry.is_stored);
-        let notice = |(request, entry): (&Fingerprint, &Held)| HeldNotice {
+    pub fn quarantine_notices(&self, now: Instant) -> Vec<QuarantineNotice> {
+        let unstored = self
+            .quarantined
+            .iter()
+            .filter(|(_, entry)| !entry.is_stored);
+        let notice = |(request, entry): (&Fingerprint, &QuarantineEntry)| QuarantineNotice {
             fingerprint: *request,
             left_s: entry.until.since(now).as_secs() as u16,
         };
-        let mut notices: Vec<HeldNotice> = unstored.map(notice).collect();
+        let mut notices: Vec<QuarantineNotice> = unstored.map(notice).collect();
         notices.sort_unstable_by_key(|n| u16::MAX - n.left_s);
-        notices.truncate(HELD_NOTICES);
+        notices.truncate(MAX_QUARANTINE_NOTICES);
         notices
     }
 
     /// Marks the quarantined requests without an entry in the store whose keeper is this router, so
     /// that it writes their entries. Returns whether any entry is to be written.
-    pub fn on_keeper(&mut self, is_keeper: impl Fn(Fingerprint) -> bool) -> bool {
+    pub fn mark_unsaved(&mut self, is_keeper: impl Fn(Fingerprint) -> bool) -> bool {
         let mut any = false;
-        for (request, entry) in self.held.iter_mut().filter(|(_, entry)| !entry.is_stored) {
+        for (request, entry) in self
+            .quarantined
+            .iter_mut()
+            .filter(|(_, entry)| !entry.is_stored)
+        {
             entry.is_unsaved |= is_keeper(*request);
             any |= entry.is_unsaved;
         }
@@ -233,19 +249,19 @@
     /// removed it, or a router did after a target answered the request.
     pub fn on_removed(&mut self, request: Fingerprint) -> Option<Change> {
         self.suspects.remove(&request);
-        let was_quarantined = self.held.remove(&request).is_some();
-        was_quarantined.then_some(Change::LetThrough)
+        let was_quarantined = self.quarantined.remove(&request).is_some();
+        was_quarantined.then_some(Change::Released)
     }
 
     /// Returns the recent crashes to announce to peers, beginning with those of the requests with
     /// the most crashes.
-    pub fn notices(&self, now: Instant) -> Vec<EndingNotice> {
-        let mut ranked: Vec<(usize, EndingNotice)> = Vec::new();
+    pub fn crash_notices(&self, now: Instant) -> Vec<CrashNotice> {
+        let mut ranked: Vec<(usize, CrashNotice)> = Vec::new();
         for (fingerprint, endings) in &self.suspects {
             let recent = endings
                 .iter()
-                .filter(|e| now.since(e.at) < ANNOUNCED_FOR)
-                .map(|e| EndingNotice {
+                .filter(|e| now.since(e.at) < ANNOUNCE_DURATION)
+                .map(|e| CrashNotice {
                     fingerprint: *fingerprint,
                     target: e.target,
                     age_ms: now.since(e.at).as_millis() as u16,
@@ -253,7 +269,7 @@
             ranked.extend(recent.map(|notice| (endings.len(), notice)));
         }
         ranked.sort_unstable_by_key(|(endings, n)| (usize::MAX - endings, n.age_ms));
-        ranked.truncate(NOTICES);
+        ranked.truncate(MAX_CRASH_NOTICES);
         ranked.into_iter().map(|(_, notice)| notice).collect()
     }
 
@@ -264,30 +280,33 @@
 
     /// Returns the requests whose entries this router has to write to the store.
     pub fn unsaved(&self) -> Vec<Fingerprint> {
-        let unsaved = self.held.iter().filter(|(_, entry)| entry.is_unsaved);
+        let unsaved = self
+            .quarantined
+            .iter()
+            .filter(|(_, entry)| entry.is_unsaved);
         unsaved.map(|(request, _)| *request).collect()
     }
 
     /// Handles a completed write of a request's entry to the store.
     pub fn on_saved(&mut self, now: Instant, request: Fingerprint) {
-        if let Some(entry) = self.held.get_mut(&request) {
+        if let Some(entry) = self.quarantined.get_mut(&request) {
             entry.is_unsaved = false;
             entry.is_stored = true;
-            entry.until = now + HELD_FOR;
+            entry.until = now + QUARANTINE_DURATION;
         }
     }
 
     /// Handles a store that was reverted to an older copy and may have lost entries: quarantined
     /// requests are announced to peers and written to the store again.
-    pub fn on_set_back(&mut self) {
-        self.held
+    pub fn on_store_reverted(&mut self) {
+        self.quarantined
             .values_mut()
             .for_each(|entry| entry.is_stored = false);
     }
 
     /// Returns the quarantined requests, each with the time left.
-    pub fn held(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
-        let entries = self.held.iter();
+    pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
+        let entries = self.quarantined.iter();
         entries.map(move |(request, entry)| (*request, entry.until.since(now)))
     }
 
@@ -300,70 +319,70 @@
     /// again.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Fingerprint> {
         self.suspects.retain(|_, endings| {
-            endings.retain(|e| now.since(e.at) < HELD_FOR);
+            endings.retain(|e| now.since(e.at) < QUARANTINE_DURATION);
             !endings.is_empty()
         });
-        let expired = self.held.extract_if(|_, entry| now >= entry.until);
+        let expired = self.quarantined.extract_if(|_, entry| now >= entry.until);
         expired.map(|(request, _)| request).collect()
     }
 
     /// Records a crash that was found at `at`; returns the change if its request is quarantined as
     /// a result.
-    fn find(
+    fn record_crash(
         &mut self,
         now: Instant,
         at: Instant,
         request: Fingerprint,
         target: TargetHash,
     ) -> Option<Change> {
-        if self.held.contains_key(&request) || !self.may_suspect(now, request) {
+        if self.quarantined.contains_key(&request) || !self.may_suspect(now, request) {
             return None;
         }
         self.make_room(request);
         let endings = self.suspects.entry(request).or_default();
-        let is_same_crash = |e: &Ending| {
+        let is_same_crash = |e: &Crash| {
             let interval = e.at.since(at).max(at.since(e.at));
-            e.target == target && interval < SAME_ENDING
+            e.target == target && interval < SAME_CRASH_INTERVAL
         };
         if endings.iter().any(is_same_crash) {
             return None;
         }
-        endings.push(Ending { target, at });
+        endings.push(Crash { target, at });
         self.unannounced = true;
-        if endings.len() < ENDED {
+        if endings.len() < CRASHES_TO_QUARANTINE {
             return None;
         }
-        self.hold(now + HELD_FOR, request);
-        Some(Change::HeldBack)
+        self.quarantine_until(now + QUARANTINE_DURATION, request);
+        Some(Change::Quarantined)
     }
 
     /// Quarantines a request until `until` at least; returns whether it was quarantined before.
-    fn hold(&mut self, until: Instant, request: Fingerprint) -> bool {
-        if let Some(entry) = self.held.get_mut(&request) {
+    fn quarantine_until(&mut self, until: Instant, request: Fingerprint) -> bool {
+        if let Some(entry) = self.quarantined.get_mut(&request) {
             entry.until = entry.until.max(until);
             return true;
         }
-        if self.held.len() >= HELD {
-            let earliest = self.held.iter().min_by_key(|(_, entry)| entry.until);
+        if self.quarantined.len() >= MAX_QUARANTINED {
+            let earliest = self.quarantined.iter().min_by_key(|(_, entry)| entry.until);
             let earliest = earliest.map(|(request, _)| *request);
-            earliest.and_then(|request| self.held.remove(&request));
+            earliest.and_then(|request| self.quarantined.remove(&request));
         }
-        let entry = Held {
+        let entry = QuarantineEntry {
             until,
             is_unsaved: false,
             is_stored: false,
         };
-        self.held.insert(request, entry);
+        self.quarantined.insert(request, entry);
         false
     }
 
     /// Makes room for one more suspect, by removing the one with the fewest crashes, and of several
     /// such ones the one whose last crash is the oldest.
     fn make_room(&mut self, request: Fingerprint) {
-        if self.suspects.len() < SUSPECTS || self.suspects.contains_key(&request) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
         }
-        let last = |endings: &Vec<Ending>| endings.last().map_or(Instant::default(), |e| e.at);
+        let last = |endings: &Vec<Crash>| endings.last().map_or(Instant::default(), |e| e.at);
         let weakest = self.suspects.iter();
         let weakest = weakest.min_by_key(|(_, endings)| (endings.len(), last(endings)));
         let weakest = weakest.map(|(request, _)| *request);
--- a/src/withdrawals.rs
+++ b/src/withdrawals.rs
@@ -46,7 +46,7 @@
 
     /// Returns the withdrawal that headers state, which may name both kinds: a target that is
     /// leaving accepts no calls after a backoff either.
-    pub fn said(leaving: bool, backoff: Option<Backoff>) -> Option<Self> {
+    pub fn from_headers(leaving: bool, backoff: Option<Backoff>) -> Option<Self> {
         match backoff {
             _ if leaving => Some(Self::Leaving),
             backoff => backoff.map(Self::Backoff),
@@ -61,7 +61,7 @@
 
 /// Maximum backoff; a longer one is ignored. No target runs until the end of such a backoff, and
 /// one garbled digit would exclude the target for good.
-const LONGEST: Duration = Duration::from_hours(24);
+const MAX_BACKOFF: Duration = Duration::from_hours(24);
 
 impl Backoff {
     /// Returns the length of the backoff.
@@ -78,7 +78,7 @@
         let is_decimal = s.bytes().all(|b| b.is_ascii_digit() || b == b'.');
         let seconds = s.parse::<f64>().ok().filter(|_| is_decimal);
         let time = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
-        let time = time.filter(|t| !t.is_zero() && *t <= LONGEST);
+        let time = time.filter(|t| !t.is_zero() && *t <= MAX_BACKOFF);
         time.map(Self)
             .ok_or_else(|| IdError::new("seconds, more than 0 and at most a day", s))
     }
@@ -102,30 +102,30 @@
 /// Returns the pause for a caller where no target accepts calls before `backoff` is over. It is
 /// never shorter, however long the caller is willing to wait, as each earlier retry is rejected
 /// again. `draw`, from 0 to 1, spreads the callers.
-pub fn come_back(backoff: Duration, draw: f64) -> Duration {
+pub fn retry_after(backoff: Duration, draw: f64) -> Duration {
     backoff.mul_f64(1.0 + BACKOFF_MARGIN + BACKOFF_SPREAD * draw)
 }
 
 /// Maximum number of target instances whose withdrawals are remembered, the latest ones: three
 /// times the targets of the largest deployment to design for.
-const REMEMBERED: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
+const MAX_REMEMBERED_TARGETS: NonZeroUsize = NonZeroUsize::new(4_096).unwrap();
 
 /// Withdrawal of one target.
 #[derive(Debug, Clone, Copy)]
-struct Said {
+struct WithdrawalEntry {
     /// When the target first asked for no calls.
     at: Instant,
     /// End of the withdrawal; `None` where it is for good.
     until: Option<Instant>,
 }
 
-impl Said {
-    fn is_on(self, now: Instant) -> bool {
+impl WithdrawalEntry {
+    fn is_active(self, now: Instant) -> bool {
         self.until.is_none_or(|until| now < until)
     }
 
     /// Merges a withdrawal with the one before: it began with the first, and the later end counts.
-    fn with(self, before: Option<Self>) -> Self {
+    fn merged_with(self, before: Option<Self>) -> Self {
         before.map_or(self, |before| Self {
             at: before.at,
             until: before.until.zip(self.until).map(|(a, b)| a.max(b)),
@@ -145,13 +145,13 @@
 /// Targets that accept no calls from this router.
 #[derive(Debug)]
 pub struct Withdrawals {
-    said: LruCache<TargetId, Said, FxBuildHasher>,
+    said: LruCache<TargetId, WithdrawalEntry, FxBuildHasher>,
 }
 
 impl Default for Withdrawals {
     fn default() -> Self {
         Self {
-            said: LruCache::with_hasher(REMEMBERED, FxBuildHasher),
+            said: LruCache::with_hasher(MAX_REMEMBERED_TARGETS, FxBuildHasher),
         }
     }
 }
@@ -159,20 +159,25 @@
 impl Withdrawals {
     /// Records a withdrawal. Returns whether it is a change: the target accepted calls until now,
     /// or is leaving where it only backed off before.
-    pub fn on_said(&mut self, now: Instant, target: &TargetId, withdrawal: Withdrawal) -> bool {
-        let before = self.said.peek(target).copied().filter(|b| b.is_on(now));
-        let current = Said {
+    pub fn on_withdrawal(
+        &mut self,
+        now: Instant,
+        target: &TargetId,
+        withdrawal: Withdrawal,
+    ) -> bool {
+        let before = self.said.peek(target).copied().filter(|b| b.is_active(now));
+        let current = WithdrawalEntry {
             at: now,
             until: withdrawal.backoff().map(|backoff| now + backoff),
         };
-        let current = current.with(before);
+        let current = current.merged_with(before);
         self.said.put(target.clone(), current);
         before.is_none_or(|b| b.until.is_some() && current.until.is_none())
     }
 
     /// Returns the withdrawal of a target that accepts no calls now.
     pub fn of(&self, now: Instant, target: &TargetId) -> Option<Withdrawn> {
-        let withdrawal = self.said.peek(target).filter(|s| s.is_on(now))?;
+        let withdrawal = self.said.peek(target).filter(|s| s.is_active(now))?;
         Some(Withdrawn {
             age: now.since(withdrawal.at),
             left: withdrawal.until.map(|until| until.since(now)),
@@ -180,7 +185,7 @@
     }
 
     /// Returns the targets that accept calls.
-    pub fn without<'a>(
+    pub fn accepting<'a>(
         &self,
         now: Instant,
         targets: &'a [Rc<TargetRecord>],
@@ -190,7 +195,11 @@
     }
 
     /// Returns why none of these targets accepts calls; `None` where one does.
-    pub fn none_of(&self, now: Instant, targets: &[Rc<TargetRecord>]) -> Option<PlacementError> {
+    pub fn all_withdrawn(
+        &self,
+        now: Instant,
+        targets: &[Rc<TargetRecord>],
+    ) -> Option<PlacementError> {
         let all: Option<Vec<Withdrawn>> = targets.iter().map(|t| self.of(now, &t.id)).collect();
         let earliest_end = all?.into_iter().filter_map(|w| w.left).min();
         Some(match earliest_end {
@@ -201,7 +210,7 @@
 
     /// Removes backoffs that are over; returns their targets.
     pub fn on_tick(&mut self, now: Instant) -> Vec<TargetId> {
-        let expired = self.said.iter().filter(|(_, s)| !s.is_on(now));
+        let expired = self.said.iter().filter(|(_, s)| !s.is_active(now));
         let expired: Vec<TargetId> = expired.map(|(id, _)| id.clone()).collect();
         for target in &expired {
             self.said.pop(target);
@@ -211,7 +220,7 @@
 
     /// Number of targets that accept no calls: those for good, and those for a while.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let active = self.said.iter().filter(|(_, s)| s.is_on(now));
+        let active = self.said.iter().filter(|(_, s)| s.is_active(now));
         let for_good = active.clone().filter(|(_, s)| s.until.is_none()).count();
         (for_good, active.count() - for_good)
     }
--- a/tests/decisions/claims.rs
+++ b/tests/decisions/claims.rs
@@ -5,7 +5,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use scaleford::{
-    claims::{Batch, COPY_AGE_S, Chunk, ClaimKey, ClaimKind, ClaimShard, ClaimStep, ClaimVerdict},
+    claims::{
+        Batch, Chunk, ClaimKey, ClaimKind, ClaimShard, ClaimStep, ClaimVerdict, MAX_COPY_AGE_S,
+    },
     ids::RequestId,
 };
 
@@ -149,7 +151,7 @@
 #[case::given_back(&[step(1, 7, ClaimKind::Claim), step(1, 7, ClaimKind::Release)], &[], 110, ClaimVerdict::Recorded)]
 #[case::claimed_by_another_since(
     &[step(1, 7, ClaimKind::Claim)], &[step(1, 8, ClaimKind::Claim), step(1, 8, ClaimKind::Done)], 110, ClaimVerdict::Ran(200))]
-#[case::older_than_any_copy(&[step(1, 7, ClaimKind::Claim)], &[], 100 + COPY_AGE_S + 1, ClaimVerdict::Recorded)]
+#[case::older_than_any_copy(&[step(1, 7, ClaimKind::Claim)], &[], 100 + MAX_COPY_AGE_S + 1, ClaimVerdict::Recorded)]
 fn claims_that_were_lost_with_the_store_are_recorded_again(
     #[case] known: &[ClaimStep],
     #[case] in_copy: &[ClaimStep],
--- a/tests/decisions/evacuation.rs
+++ b/tests/decisions/evacuation.rs
@@ -53,7 +53,7 @@
     let mut d = two_halls();
     assert!(
         d.discovery
-            .on_hall(at(10), hall("barn"), true, StoreRevision::first_era(3))
+            .on_hall_change(at(10), hall("barn"), true, StoreRevision::first_era(3))
     );
     assert_eq!(reached(&mut d, 20), ["yard"]);
     // A target that starts there gets nothing either.
@@ -63,7 +63,7 @@
     assert_eq!(reached(&mut d, 110), ["yard"]);
     assert!(
         d.discovery
-            .on_hall(at(200), hall("barn"), false, StoreRevision::first_era(5))
+            .on_hall_change(at(200), hall("barn"), false, StoreRevision::first_era(5))
     );
     assert!(reached(&mut d, 10_000).contains(&"barn".to_owned()));
 }
@@ -74,7 +74,7 @@
     let mut d = two_halls();
     d.cache.on_peer(&record(2).id, part(1, 9_000), false);
     d.discovery
-        .on_hall(at(10), hall("barn"), true, StoreRevision::first_era(3));
+        .on_hall_change(at(10), hall("barn"), true, StoreRevision::first_era(3));
     let plan = plan(STREAM, vec![part(1, 9_000), part(2, 50)], 1);
     let ticket = d.choose(at(20), &plan).unwrap();
     assert_eq!(ticket.target.data_hall, hall("yard"));
@@ -87,7 +87,7 @@
     let mut d = two_halls();
     for name in ["barn", "yard"] {
         d.discovery
-            .on_hall(at(10), hall(name), true, StoreRevision::first_era(3));
+            .on_hall_change(at(10), hall(name), true, StoreRevision::first_era(3));
     }
     let plan = plan(STREAM, vec![part(1, 3_000)], 1);
     assert_eq!(
--- a/tests/decisions/many_targets.rs
+++ b/tests/decisions/many_targets.rs
@@ -134,7 +134,7 @@
     let kept = |targets: usize| {
         let d = dispatcher(targets);
         let read: HashSet<TargetId> = (0..300).map(|n| record(n * 3).id).collect();
-        let kept = d.discovery.worth_keeping(|id| read.contains(id));
+        let kept = d.discovery.targets_to_save(|id| read.contains(id));
         assert!(read.iter().all(|id| kept.iter().any(|k| k.id == *id)));
         postcard::to_stdvec(&kept).unwrap().len()
     };
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -6,7 +6,7 @@
 use scaleford::{
     fingerprint::Fingerprint,
     ids::TargetId,
-    quarantine::{Change, HELD_FOR, Quarantine},
+    quarantine::{Change, QUARANTINE_DURATION, Quarantine},
     target_counts::TargetHash,
     units::Instant,
 };
@@ -26,7 +26,7 @@
 fn after_endings(n: usize) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for i in 0..n {
-        quarantine.on_ending(at(i as u64 * 1_000), REQUEST, target(i));
+        quarantine.on_crash(at(i as u64 * 1_000), REQUEST, target(i));
     }
     quarantine
 }
@@ -39,9 +39,9 @@
     #[case] held: bool,
 ) {
     let quarantine = after_endings(ended);
-    assert_eq!(quarantine.held_for(at(3_000), REQUEST).is_some(), held);
+    assert_eq!(quarantine.time_left(at(3_000), REQUEST).is_some(), held);
     assert_eq!(quarantine.unsaved().len(), usize::from(held));
-    assert!(quarantine.held_for(at(3_000), Fingerprint(1)).is_none());
+    assert!(quarantine.time_left(at(3_000), Fingerprint(1)).is_none());
 }
 
 /// A request ended a target through each of three routers, none of which saw more than one ending.
@@ -49,19 +49,19 @@
 fn endings_at_several_routers_are_one_count_in_whatever_order_they_are_heard_of() {
     let mut routers: Vec<Quarantine> = (0..3).map(|_| Quarantine::default()).collect();
     for (i, router) in routers.iter_mut().enumerate() {
-        router.on_ending(at(100), REQUEST, target(i));
+        router.on_crash(at(100), REQUEST, target(i));
     }
     // Each tells the others, also what it heard itself, and more than once.
     for _ in 0..3 {
         for from in 0..3 {
-            let told = routers[from].notices(at(150));
+            let told = routers[from].crash_notices(at(150));
             for to in (0..3).filter(|to| *to != from) {
-                routers[to].on_notices(at(160), &told);
+                routers[to].on_crash_notices(at(160), &told);
             }
         }
     }
     for router in &routers {
-        assert!(router.held_for(at(200), REQUEST).is_some());
+        assert!(router.time_left(at(200), REQUEST).is_some());
         assert_eq!(router.suspect_count(), 1);
     }
 }
@@ -69,15 +69,15 @@
 #[test]
 fn the_same_ending_told_twice_counts_once() {
     let mut here = Quarantine::default();
-    here.on_ending(at(1_000), REQUEST, target(0));
-    let told = here.notices(at(1_050));
+    here.on_crash(at(1_000), REQUEST, target(0));
+    let told = here.crash_notices(at(1_050));
     let mut there = Quarantine::default();
-    there.on_ending(at(1_020), REQUEST, target(0));
+    there.on_crash(at(1_020), REQUEST, target(0));
     for later in 0..20 {
-        there.on_notices(at(1_060 + later), &told);
+        there.on_crash_notices(at(1_060 + later), &told);
     }
-    there.on_ending(at(1_030), REQUEST, target(1));
-    assert!(there.held_for(at(1_100), REQUEST).is_none());
+    there.on_crash(at(1_030), REQUEST, target(1));
+    assert!(there.time_left(at(1_100), REQUEST).is_none());
 }
 
 /// A target that starts again under its name can end once more.
@@ -85,9 +85,9 @@
 fn endings_of_one_name_count_where_they_lie_apart() {
     let mut quarantine = Quarantine::default();
     for i in 0..3 {
-        quarantine.on_ending(at(i * 2_000), REQUEST, target(0));
+        quarantine.on_crash(at(i * 2_000), REQUEST, target(0));
     }
-    assert!(quarantine.held_for(at(5_000), REQUEST).is_some());
+    assert!(quarantine.time_left(at(5_000), REQUEST).is_some());
 }
 
 /// In the play of the incident up to eight calls broke off beside the request each time.
@@ -97,16 +97,16 @@
     let beside = |ending: u64, n: u64| Fingerprint(ending * 100 + n);
     for ending in 0..20 {
         let now = at(ending * 700);
-        quarantine.on_ending(now, REQUEST, target(ending as usize));
+        quarantine.on_crash(now, REQUEST, target(ending as usize));
         for n in 0..8 {
             // Some of those that broke off before come back and meet another ending.
             let again = ending.saturating_sub(u64::from(n < 2));
-            quarantine.on_ending(now, beside(again, n), target(ending as usize));
+            quarantine.on_crash(now, beside(again, n), target(ending as usize));
         }
     }
     let now = at(20 * 700);
-    assert_eq!(quarantine.held(now).count(), 1);
-    assert!(quarantine.held_for(now, REQUEST).is_some());
+    assert_eq!(quarantine.quarantined(now).count(), 1);
+    assert!(quarantine.time_left(now, REQUEST).is_some());
 }
 
 /// Callers that all ask the same, at five targets that go down together for another reason.
@@ -115,50 +115,54 @@
     let mut quarantine = Quarantine::default();
     quarantine.on_answered(at(0), REQUEST);
     for n in 0..5 {
-        quarantine.on_ending(at(1_000), REQUEST, target(n));
+        quarantine.on_crash(at(1_000), REQUEST, target(n));
     }
     assert_eq!(quarantine.suspect_count(), 0);
-    assert!(quarantine.held_for(at(1_000), REQUEST).is_none());
+    assert!(quarantine.time_left(at(1_000), REQUEST).is_none());
 }
 
 #[test]
 fn an_answer_clears_a_request() {
     let mut quarantine = after_endings(2);
     assert_eq!(quarantine.on_answered(at(2_500), REQUEST), None);
-    quarantine.on_ending(at(3_000), REQUEST, target(3));
-    assert!(quarantine.held_for(at(3_000), REQUEST).is_none());
+    quarantine.on_crash(at(3_000), REQUEST, target(3));
+    assert!(quarantine.time_left(at(3_000), REQUEST).is_none());
 
     let mut quarantine = after_endings(3);
     let change = quarantine.on_answered(at(3_500), REQUEST);
-    assert_eq!(change, Some(Change::LetThrough), "a call that still ran");
-    assert!(quarantine.held_for(at(3_500), REQUEST).is_none());
+    assert_eq!(change, Some(Change::Released), "a call that still ran");
+    assert!(quarantine.time_left(at(3_500), REQUEST).is_none());
 }
 
 #[test]
 fn a_router_that_starts_takes_over_what_the_store_holds_back() {
     let mut quarantine = Quarantine::default();
     let change = quarantine.on_stored(at(0), REQUEST);
-    assert_eq!(change, Some(Change::HeldBack));
+    assert_eq!(change, Some(Change::Quarantined));
     assert_eq!(quarantine.on_stored(at(10), REQUEST), None);
     assert!(quarantine.unsaved().is_empty(), "another one entered it");
-    assert!(quarantine.held_for(at(20), REQUEST).is_some());
+    assert!(quarantine.time_left(at(20), REQUEST).is_some());
     let change = quarantine.on_removed(REQUEST);
-    assert_eq!(change, Some(Change::LetThrough));
-    assert!(quarantine.held_for(at(30), REQUEST).is_none());
+    assert_eq!(change, Some(Change::Released));
+    assert!(quarantine.time_left(at(30), REQUEST).is_none());
 }
 
 #[test]
 fn a_request_that_keeps_coming_stays_held_and_one_that_does_not_is_let_through() {
     let mut quarantine = after_endings(3);
     quarantine.on_saved(at(2_000), REQUEST);
-    let half = at(2_000) + HELD_FOR / 2;
+    let half = at(2_000) + QUARANTINE_DURATION / 2;
     quarantine.on_refused(half, REQUEST);
     assert_eq!(quarantine.unsaved(), [REQUEST], "its entry is renewed");
     quarantine.on_saved(half, REQUEST);
-    assert!(quarantine.on_tick(at(2_000) + HELD_FOR).is_empty());
-    let later = half + HELD_FOR;
+    assert!(
+        quarantine
+            .on_tick(at(2_000) + QUARANTINE_DURATION)
+            .is_empty()
+    );
+    let later = half + QUARANTINE_DURATION;
     assert_eq!(quarantine.on_tick(later), [REQUEST]);
-    assert!(quarantine.held_for(later, REQUEST).is_none());
+    assert!(quarantine.time_left(later, REQUEST).is_none());
     assert_eq!(quarantine.suspect_count(), 0);
 }
 
@@ -167,8 +171,8 @@
 fn a_request_that_is_let_through_is_counted_anew() {
     let mut quarantine = after_endings(3);
     quarantine.on_removed(REQUEST);
-    quarantine.on_ending(at(4_000), REQUEST, target(7));
-    assert!(quarantine.held_for(at(4_000), REQUEST).is_none());
+    quarantine.on_crash(at(4_000), REQUEST, target(7));
+    assert!(quarantine.time_left(at(4_000), REQUEST).is_none());
 }
 
 /// All that is remembered stays below some thousand entries, and what was suspected most often stays.
@@ -176,26 +180,29 @@
 fn what_is_remembered_is_bounded() {
     let mut quarantine = after_endings(2);
     for n in 0..20_000_u64 {
-        quarantine.on_ending(at(2_000 + n), Fingerprint(n + 10_000), target(n as usize));
+        quarantine.on_crash(at(2_000 + n), Fingerprint(n + 10_000), target(n as usize));
     }
     assert!(quarantine.suspect_count() <= 2_048);
-    quarantine.on_ending(at(30_000), REQUEST, target(9));
-    assert!(quarantine.held_for(at(30_000), REQUEST).is_some());
+    quarantine.on_crash(at(30_000), REQUEST, target(9));
+    assert!(quarantine.time_left(at(30_000), REQUEST).is_some());
     for n in 0..20_000_u64 {
         quarantine.on_stored(at(31_000 + n), Fingerprint(n));
     }
-    assert!(quarantine.held(at(60_000)).count() <= 512);
-    assert!(quarantine.notices(at(22_000)).len() <= 48);
-    assert_eq!(quarantine.on_tick(at(60_000) + HELD_FOR).len(), 512);
+    assert!(quarantine.quarantined(at(60_000)).count() <= 512);
+    assert!(quarantine.crash_notices(at(22_000)).len() <= 48);
+    assert_eq!(
+        quarantine.on_tick(at(60_000) + QUARANTINE_DURATION).len(),
+        512
+    );
     assert_eq!(quarantine.suspect_count(), 0);
 }
 
 #[test]
 fn an_ending_is_announced_for_a_while_only() {
     let quarantine = after_endings(1);
-    assert_eq!(quarantine.notices(at(1_000)).len(), 1);
+    assert_eq!(quarantine.crash_notices(at(1_000)).len(), 1);
     let long = Duration::from_secs(3);
-    assert!(quarantine.notices(at(0) + long).is_empty());
+    assert!(quarantine.crash_notices(at(0) + long).is_empty());
 }
 
 /// While no entry tells of a request that is held back, routers tell one another; one that starts hears of it from any.
@@ -203,36 +210,36 @@
 fn what_no_entry_tells_of_is_told_by_peers_until_one_does() {
     let mut first = after_endings(3);
     let mut started = Quarantine::default();
-    let told = first.held_notices(at(60_000));
-    assert_eq!(started.on_held_notices(at(60_010), &told), [REQUEST]);
-    assert!(started.on_held_notices(at(60_020), &told).is_empty());
+    let told = first.quarantine_notices(at(60_000));
+    assert_eq!(started.on_quarantine_notices(at(60_010), &told), [REQUEST]);
+    assert!(started.on_quarantine_notices(at(60_020), &told).is_empty());
     // It does not last longer for it, however often it is told, but for the time on the way.
     for ms in (60_000..120_000).step_by(400) {
-        first.on_held_notices(at(ms + 1), &started.held_notices(at(ms)));
-        started.on_held_notices(at(ms + 1), &first.held_notices(at(ms)));
+        first.on_quarantine_notices(at(ms + 1), &started.quarantine_notices(at(ms)));
+        started.on_quarantine_notices(at(ms + 1), &first.quarantine_notices(at(ms)));
     }
-    let left = HELD_FOR - Duration::from_secs(118) + Duration::from_secs(1);
-    assert!(first.held_for(at(120_000), REQUEST).unwrap() <= left);
-    assert!(started.held_for(at(120_000), REQUEST).unwrap() <= left);
+    let left = QUARANTINE_DURATION - Duration::from_secs(118) + Duration::from_secs(1);
+    assert!(first.time_left(at(120_000), REQUEST).unwrap() <= left);
+    assert!(started.time_left(at(120_000), REQUEST).unwrap() <= left);
     // One of them enters it, though it saw no ending itself.
     assert!(started.unsaved().is_empty());
-    assert!(started.on_keeper(|request| request == REQUEST));
+    assert!(started.mark_unsaved(|request| request == REQUEST));
     assert_eq!(started.unsaved(), [REQUEST]);
     started.on_saved(at(121_000), REQUEST);
-    assert!(started.held_notices(at(121_000)).is_empty());
+    assert!(started.quarantine_notices(at(121_000)).is_empty());
     first.on_stored(at(121_100), REQUEST);
-    assert!(first.held_notices(at(121_100)).is_empty());
-    assert!(!first.on_keeper(|_| true));
+    assert!(first.quarantine_notices(at(121_100)).is_empty());
+    assert!(!first.mark_unsaved(|_| true));
 }
 
 /// A request that a target answered is not held back by what peers tell, as by endings that they tell of.
 #[test]
 fn an_answer_outweighs_what_peers_hold_back() {
-    let told = after_endings(3).held_notices(at(5_000));
+    let told = after_endings(3).quarantine_notices(at(5_000));
     let mut answered = Quarantine::default();
     answered.on_answered(at(5_000), REQUEST);
-    assert!(answered.on_held_notices(at(5_100), &told).is_empty());
-    assert!(answered.held_for(at(5_200), REQUEST).is_none());
+    assert!(answered.on_quarantine_notices(at(5_100), &told).is_empty());
+    assert!(answered.time_left(at(5_200), REQUEST).is_none());
 }
 
 /// Entries of held requests were lost with the store, so routers that started later sent such requests on.
@@ -240,12 +247,12 @@
 fn a_held_request_is_entered_again_after_the_store_was_set_back() {
     let mut quarantine = after_endings(3);
     quarantine.on_saved(at(3_100), REQUEST);
-    assert!(quarantine.held_notices(at(3_200)).is_empty());
-    quarantine.on_set_back();
-    assert_eq!(quarantine.held_notices(at(3_200)).len(), 1);
+    assert!(quarantine.quarantine_notices(at(3_200)).is_empty());
+    quarantine.on_store_reverted();
+    assert_eq!(quarantine.quarantine_notices(at(3_200)).len(), 1);
     assert!(quarantine.unsaved().is_empty(), "its keeper enters it");
-    quarantine.on_keeper(|_| true);
+    quarantine.mark_unsaved(|_| true);
     assert_eq!(quarantine.unsaved(), [REQUEST]);
     quarantine.on_saved(at(3_300), REQUEST);
-    assert!(quarantine.held_notices(at(3_400)).is_empty());
+    assert!(quarantine.quarantine_notices(at(3_400)).is_empty());
 }
--- a/tests/decisions/set_back.rs
+++ b/tests/decisions/set_back.rs
@@ -80,7 +80,7 @@
     let mut discovery = Discovery::default();
     discovery.on_list(at(0), list(first, before(3)), before(3));
     discovery.on_list(at(1_000), list(known, before(20)), before(20));
-    discovery.on_set_back(SET_BACK);
+    discovery.on_store_reverted(SET_BACK);
     discovery.on_list(SET_BACK, list(copy.clone(), after(3)), after(4));
     assert_eq!(called(&discovery), at_first);
     assert!(!discovery.take_settled(SET_BACK + RETURN_GRACE / 2));
@@ -104,7 +104,7 @@
     let all = vec![record(1), record(2), record(3)];
     discovery.on_list(at(0), list(all.clone(), before(3)), before(3));
     discovery.on_change(at(1), ListChange::Put(leaving(3)), before(90));
-    discovery.on_set_back(SET_BACK);
+    discovery.on_store_reverted(SET_BACK);
     discovery.on_list(SET_BACK, list(all, after(3)), after(4));
     discovery.on_change(SET_BACK, change, after(5));
     assert_eq!(called(&discovery), expected);
@@ -121,14 +121,14 @@
 ) {
     let mut discovery = Discovery::default();
     let yard = hall("yard");
-    discovery.on_hall(at(0), yard.clone(), true, before(3));
-    discovery.on_hall(at(1), yard.clone(), known, before(9));
+    discovery.on_hall_change(at(0), yard.clone(), true, before(3));
+    discovery.on_hall_change(at(1), yard.clone(), known, before(9));
     let listed = || copy.iter().map(|name| (hall(name), after(3))).collect();
-    discovery.on_set_back(SET_BACK);
-    discovery.on_halls(SET_BACK, listed(), after(4));
+    discovery.on_store_reverted(SET_BACK);
+    discovery.on_hall_list(SET_BACK, listed(), after(4));
     assert_eq!(discovery.evacuations().is_evacuated(&yard), at_first);
     assert!(discovery.take_settled(settled()));
-    discovery.on_halls(settled(), listed(), after(4));
+    discovery.on_hall_list(settled(), listed(), after(4));
     assert_eq!(discovery.evacuations().is_evacuated(&yard), at_last);
 }
 
--- a/tests/decisions/targets.rs
+++ b/tests/decisions/targets.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use scaleford::{
     config::serving::{CallKind, StreamRepeats},
-    discovery::{Discovery, ListChange, RETURN_GRACE, TargetRecord, TargetState, Verdict},
+    discovery::{Discovery, ListChange, RETURN_GRACE, TargetChange, TargetRecord, TargetState},
     health::{Outcome, Standing},
     ids::{TargetId, UnixMillis},
     units::{Instant, StoreRevision, Tokens},
@@ -21,10 +21,10 @@
         vec![(record(1), StoreRevision::first_era(1))],
         StoreRevision::first_era(1),
     );
-    list.on_store_back(at(10_000), Duration::ZERO);
+    list.on_store_available(at(10_000), Duration::ZERO);
     let gone = ListChange::Removed("t1".parse().unwrap());
     let changes = list.on_change(at(10_100), gone, StoreRevision::first_era(5));
-    assert_eq!(changes, [(record(1).id, Verdict::Kept)]);
+    assert_eq!(changes, [(record(1).id, TargetChange::Kept)]);
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
     let back = ListChange::Put(record(1));
     list.on_change(at(10_900), back, StoreRevision::first_era(9));
@@ -40,7 +40,7 @@
         vec![(record(1), StoreRevision::first_era(1))],
         StoreRevision::first_era(1),
     );
-    list.on_store_back(at(10_000), Duration::ZERO);
+    list.on_store_available(at(10_000), Duration::ZERO);
     list.on_list(at(10_050), Vec::new(), StoreRevision::first_era(5));
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
     assert!(RETURN_GRACE <= Duration::from_secs(2));
@@ -56,7 +56,7 @@
         vec![(record(1), StoreRevision::first_era(1))],
         StoreRevision::first_era(1),
     );
-    list.on_store_back(at(1_000), Duration::ZERO);
+    list.on_store_available(at(1_000), Duration::ZERO);
     let leaving = TargetRecord {
         state: TargetState::Leaving,
         ..record(1)
@@ -66,7 +66,7 @@
         ListChange::Put(leaving),
         StoreRevision::first_era(4),
     );
-    assert_eq!(changes, [(record(1).id, Verdict::Leaving)]);
+    assert_eq!(changes, [(record(1).id, TargetChange::Leaving)]);
     assert!(list.serving(&"writer".parse().unwrap()).is_empty());
 }
 
@@ -85,7 +85,7 @@
     );
     assert_eq!(
         list.on_change(at(2), gone, StoreRevision::first_era(9)),
-        [(record(1).id, Verdict::Gone)]
+        [(record(1).id, TargetChange::Gone)]
     );
     let old = ListChange::Put(record(1));
     assert_eq!(list.on_change(at(3), old, StoreRevision::first_era(7)), []);
@@ -101,7 +101,7 @@
         vec![(record(0), StoreRevision::first_era(9))],
         StoreRevision::first_era(9),
     );
-    let lapsed = list.on_recalled(at(0), (0..4).map(record).collect());
+    let lapsed = list.on_saved_targets(at(0), (0..4).map(record).collect());
     assert_eq!(lapsed.len(), 3);
     let service = "writer".parse().unwrap();
     assert_eq!(list.serving(&service).len(), 4);
@@ -122,7 +122,7 @@
         .map(|n| (record(n), StoreRevision::first_era(9)))
         .collect();
     list.on_list(at(0), listed, StoreRevision::first_era(9));
-    let lapsed = list.on_recalled(at(0), (0..10).map(record).collect());
+    let lapsed = list.on_saved_targets(at(0), (0..10).map(record).collect());
     assert!(lapsed.is_empty(), "{lapsed:?}");
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 9);
 }
@@ -135,7 +135,7 @@
         state: TargetState::Leaving,
         ..record(0)
     };
-    list.on_recalled(at(0), vec![leaving, record(1)]);
+    list.on_saved_targets(at(0), vec![leaving, record(1)]);
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
 }
 
@@ -160,8 +160,8 @@
     list.on_list(at(0), first, StoreRevision::first_era(1));
     let again = ListChange::Put(born(1, 9_000));
     let changes = list.on_change(at(100), again, StoreRevision::first_era(2));
-    let ended = (born(1, 5_000).id, Verdict::Restarted);
-    assert_eq!(changes, [ended, (born(1, 9_000).id, Verdict::Added)]);
+    let ended = (born(1, 5_000).id, TargetChange::Restarted);
+    assert_eq!(changes, [ended, (born(1, 9_000).id, TargetChange::Added)]);
     assert_eq!(ids(&list), ["t1~9000"]);
     assert!(list.get(&born(1, 5_000).id).is_none());
     let late = ListChange::Put(born(1, 5_000));
@@ -179,7 +179,10 @@
     let mut list = Discovery::default();
     let now = vec![(born(1, 9_000), StoreRevision::first_era(9))];
     list.on_list(at(0), now, StoreRevision::first_era(9));
-    assert!(list.on_recalled(at(0), vec![born(1, 5_000)]).is_empty());
+    assert!(
+        list.on_saved_targets(at(0), vec![born(1, 5_000)])
+            .is_empty()
+    );
     assert_eq!(ids(&list), ["t1~9000"]);
 }
 
@@ -241,8 +244,8 @@
         None,
         "it says so"
     );
-    list.on_hall(at(800), hall.clone(), true, StoreRevision::first_era(3));
-    list.on_hall(at(2_000), hall, false, StoreRevision::first_era(4));
+    list.on_hall_change(at(800), hall.clone(), true, StoreRevision::first_era(3));
+    list.on_hall_change(at(2_000), hall, false, StoreRevision::first_era(4));
     assert_eq!(
         list.cold_until(at(2_100), &record(1), lasts),
         Some(at(5_000))
@@ -261,10 +264,10 @@
     ];
     list.on_list(at(0), both, StoreRevision::first_era(1));
     back.into_iter()
-        .for_each(|at| list.on_store_back(at, Duration::ZERO));
+        .for_each(|at| list.on_store_available(at, Duration::ZERO));
     let unusable = ListChange::Unusable("t1".parse().unwrap());
     let changes = list.on_change(at(10), unusable.clone(), StoreRevision::first_era(4));
-    assert_eq!(changes, [(record(1).id, Verdict::Unusable)]);
+    assert_eq!(changes, [(record(1).id, TargetChange::Unusable)]);
     assert_eq!(ids(&list), ["t2"], "the other one holds");
     assert_eq!(
         list.on_change(at(11), unusable, StoreRevision::first_era(5)),
@@ -304,11 +307,11 @@
         .map(|(id, verdict)| (id.as_str(), *verdict))
         .collect();
     let expected = [
-        ("t1", Verdict::Restarted),
-        ("t1~9000", Verdict::Added),
-        ("t2", Verdict::Leaving),
-        ("t3", Verdict::Added),
-        ("t3", Verdict::Unusable),
+        ("t1", TargetChange::Restarted),
+        ("t1~9000", TargetChange::Added),
+        ("t2", TargetChange::Leaving),
+        ("t3", TargetChange::Added),
+        ("t3", TargetChange::Unusable),
     ];
     assert_eq!(verdicts, expected);
     assert_eq!(ids(&list), ["t1~9000"]);
@@ -323,8 +326,8 @@
         vec![(record(0), StoreRevision::first_era(1))],
         StoreRevision::first_era(1),
     );
-    list.on_store_back(at(100), Duration::from_secs(60));
+    list.on_store_available(at(100), Duration::from_secs(60));
     let removed = ListChange::Removed(record(0).id.to_name());
     let changes = list.on_change(at(200), removed, StoreRevision::first_era(2));
-    assert_eq!(changes, [(record(0).id, Verdict::Gone)]);
+    assert_eq!(changes, [(record(0).id, TargetChange::Gone)]);
 }
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -23,7 +23,7 @@
 }
 
 fn say(d: &mut Dispatcher, ms: u64, target: usize, withdrawal: Withdrawal) -> bool {
-    (d.withdrawals).on_said(at(ms), &record(target).id, withdrawal)
+    (d.withdrawals).on_withdrawal(at(ms), &record(target).id, withdrawal)
 }
 
 /// The targets that forty calls reach, of which each ends at once.
@@ -149,7 +149,7 @@
 fn what_is_remembered_is_bounded() {
     let mut all = Withdrawals::default();
     for n in 0..10_000 {
-        all.on_said(at(0), &record(n).id, Withdrawal::Leaving);
+        all.on_withdrawal(at(0), &record(n).id, Withdrawal::Leaving);
     }
     assert_eq!(all.counts(at(0)), (4_096, 0));
     assert!(all.of(at(0), &record(9_999).id).is_some());
--- a/tests/load/model.rs
+++ b/tests/load/model.rs
@@ -121,7 +121,7 @@
             let all = (0..load.targets).map(|n| record(n, load.slots));
             let at = Instant::default();
             d.discovery
-                .on_stated(at, all.collect(), StoreRevision::first_era(1));
+                .on_configured_list(at, all.collect(), StoreRevision::first_era(1));
             d
         };
         let mut model = Self {
--- a/tests/load/model/crashes.rs
+++ b/tests/load/model/crashes.rs
@@ -86,7 +86,7 @@
     pub(super) fn holds_back(&mut self, router: usize, call: &Call) -> bool {
         let request = Fingerprint(call.request);
         let quarantine = &self.routers[router].quarantine;
-        let holds = quarantine.held_for(self.now, request).is_some();
+        let holds = quarantine.time_left(self.now, request).is_some();
         self.crashed.refused += u64::from(holds && call.request == CRASHER);
         self.crashed.others_refused += u64::from(holds && call.request != CRASHER);
         holds
@@ -112,7 +112,7 @@
             let request = Fingerprint(call.request);
             if router
                 .quarantine
-                .on_ending(self.now, request, hash)
+                .on_crash(self.now, request, hash)
                 .is_some()
             {
                 let known = self.now + STORED_AFTER;
@@ -142,7 +142,7 @@
         let (now, awake) = (self.now, self.awake());
         let notices = self.routers[awake.clone()]
             .iter()
-            .flat_map(|d| d.quarantine.notices(now));
+            .flat_map(|d| d.quarantine.crash_notices(now));
         let notices: Vec<_> = notices.collect();
         let stored = self.crashed.stored.iter();
         let stored: BTreeSet<Fingerprint> = stored
@@ -150,7 +150,7 @@
             .map(|(_, request)| *request)
             .collect();
         for router in &mut self.routers[awake] {
-            router.quarantine.on_notices(now, &notices);
+            router.quarantine.on_crash_notices(now, &notices);
             for request in &stored {
                 router.quarantine.on_stored(now, *request);
             }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -113,7 +113,7 @@
         let router = |_| {
             let mut d = Dispatcher::new("hall".parse().unwrap(), &rules());
             let all = (0..engines).map(|n| record(n, TargetState::Ready));
-            d.discovery.on_stated(
+            d.discovery.on_configured_list(
                 Instant::default(),
                 all.collect(),
                 StoreRevision::first_era(1),
