--- a/src/claims.rs
+++ b/src/claims.rs
@@ -168,7 +168,7 @@
 /// A shard as its keeper knows it: the latest step on each key, and the chunk to append to.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimShard {
-    standing: HashMap<ClaimKey, KeyState>,
+    key_states: HashMap<ClaimKey, KeyState>,
     last: Chunk,
     /// Number of `last` in the chain.
     number: u64,
@@ -210,12 +210,12 @@
     /// [`MAX_COPY_AGE_S`] old, and this shard has no record of their key, or only the claim of the same
     /// request.
     pub fn recover(&mut self, before: &Self, now_s: u64) {
-        let is_lost = |(key, known): &(&ClaimKey, &KeyState)| match self.standing.get(*key) {
+        let is_lost = |(key, known): &(&ClaimKey, &KeyState)| match self.key_states.get(*key) {
             _ if known.at_s + MAX_COPY_AGE_S < now_s => false,
             None => true,
             Some(now) => now.request == known.request && now.kind == ClaimKind::Claim,
         };
-        let lost = before.standing.iter().filter(is_lost);
+        let lost = before.key_states.iter().filter(is_lost);
         let lost: Vec<Record> = lost.map(|(key, known)| known.record(*key)).collect();
         lost.iter().for_each(|r| self.apply(r));
         self.lost = lost;
@@ -234,12 +234,12 @@
 
     /// Number of keys that are remembered.
     pub fn len(&self) -> usize {
-        self.standing.len()
+        self.key_states.len()
     }
 
     /// Whether no keys are remembered.
     pub fn is_empty(&self) -> bool {
-        self.standing.is_empty()
+        self.key_states.is_empty()
     }
 
     /// Decides on steps in order, and returns the one write that records them all.
@@ -256,9 +256,13 @@
         for step in steps {
             let known = batched
                 .get(&step.key)
-                .or_else(|| self.standing.get(&step.key));
+                .or_else(|| self.key_states.get(&step.key));
             let record = Record { step: *step, at_s };
-            let verdict = decide_step(known.copied(), &record, self.standing.len() + batched.len());
+            let verdict = decide_step(
+                known.copied(),
+                &record,
+                self.key_states.len() + batched.len(),
+            );
             if verdict == ClaimVerdict::Recorded && !is_recorded(known.copied(), step) {
                 chunk.records.push(record);
                 batched.insert(step.key, key_state(&record));
@@ -292,8 +296,8 @@
     fn apply(&mut self, record: &Record) {
         let key = record.step.key;
         match record.step.kind {
-            ClaimKind::Release => self.standing.remove(&key),
-            _ => self.standing.insert(key, key_state(record)),
+            ClaimKind::Release => self.key_states.remove(&key),
+            _ => self.key_states.insert(key, key_state(record)),
         };
     }
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -79,13 +79,13 @@
     /// may now.
     settles_at: Option<Instant>,
     /// Whether a list was ever read.
-    known: bool,
+    is_loaded: bool,
 }
 
 impl Discovery {
     /// Whether a list was ever read.
     pub fn is_loaded(&self) -> bool {
-        self.known
+        self.is_loaded
     }
 
     /// Handles the return of the store after an outage, `ago` before now. That may have been before
@@ -162,7 +162,7 @@
         list: Vec<(TargetRecord, StoreRevision)>,
         revision: StoreRevision,
     ) -> Changes {
-        self.known = true;
+        self.is_loaded = true;
         let listed: HashSet<TargetName> = list.iter().map(|(r, _)| r.id.to_name()).collect();
         let mut changes = Changes::new();
         for (record, at) in list {
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -185,7 +185,7 @@
     /// all targets are to be scored, or if none of the sample accepts calls.
     fn preselected_targets(&self, now: Instant, plan: &CallPlan) -> Option<ScoredTargets> {
         let preselected = self.discovery.pools().candidates(plan, &self.cache)?;
-        let is_open = |t: &Rc<TargetRecord>| self.withdrawals.of(now, &t.id).is_none();
+        let is_open = |t: &Rc<TargetRecord>| self.withdrawals.get(now, &t.id).is_none();
         let mut targets = preselected.holders;
         let mut sample = preselected.sample;
         targets.retain(is_open);
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -15,7 +15,7 @@
     discovery::{TargetRecord, TargetState},
     fingerprint::Fingerprint,
     ids::TargetId,
-    quarantine::{Change, CrashNotice, QUARANTINE_DURATION, QuarantineNotice},
+    quarantine::{CrashNotice, QUARANTINE_DURATION, QuarantineChange, QuarantineNotice},
     store::own,
     units::Instant,
 };
@@ -136,7 +136,7 @@
         let by_endings = quarantine.on_crash_notices(now, ended);
         (by_endings, quarantine.on_quarantine_notices(now, held))
     };
-    let change = Some(Change::Quarantined);
+    let change = Some(QuarantineChange::Quarantined);
     for request in by_endings {
         log_change(cx, request, change, "endings announced by peers");
     }
@@ -150,7 +150,12 @@
     let now = cx.now();
     let let_through = cx.dispatcher.borrow_mut().quarantine.on_tick(now);
     for request in let_through {
-        log_change(cx, request, Some(Change::Released), "its time is over");
+        log_change(
+            cx,
+            request,
+            Some(QuarantineChange::Released),
+            "its time is over",
+        );
     }
     let is_keeper = |request: Fingerprint| {
         let peers = cx.peers.borrow();
@@ -174,11 +179,16 @@
 }
 
 /// Logs that a request is held back, or no longer is.
-pub(super) fn log_change(cx: &Gateway, request: Fingerprint, change: Option<Change>, why: &str) {
+pub(super) fn log_change(
+    cx: &Gateway,
+    request: Fingerprint,
+    change: Option<QuarantineChange>,
+    why: &str,
+) {
     let verdict = match change {
         None => return,
-        Some(Change::Quarantined) => "held back",
-        Some(Change::Released) => "let through",
+        Some(QuarantineChange::Quarantined) => "held back",
+        Some(QuarantineChange::Released) => "let through",
     };
     let dispatcher = cx.dispatcher.borrow();
     let held = dispatcher.quarantine.quarantined(cx.now()).count();
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -223,7 +223,7 @@
 
     /// Goes on with a planned stop.
     pub(crate) fn on_life(&self, event: RouterEvent) {
-        self.life.borrow_mut().on(event);
+        self.life.borrow_mut().handle(event);
     }
 
     /// Keeps a decision on a call for `explain`.
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -181,7 +181,7 @@
         target: t.id.clone(),
         pool: t.service.clone(),
         standing: dispatcher.health.standing(now, &t.id),
-        withdrawn: dispatcher.withdrawals.of(now, &t.id).map(Into::into),
+        withdrawn: dispatcher.withdrawals.get(now, &t.id).map(Into::into),
         calls: calls(&t.id),
         load: f64::from(calls(&t.id)) / mean(&t.service).max(1.0),
         tokens: dispatcher.load.total(&t.id).tokens.0,
--- a/src/edge/withdrawals.rs
+++ b/src/edge/withdrawals.rs
@@ -37,7 +37,7 @@
 /// Whether a target wants no calls now.
 pub(super) fn is_withdrawn(cx: &Gateway, target: &TargetId) -> bool {
     let withdrawals = &cx.dispatcher.borrow().withdrawals;
-    withdrawals.of(cx.now(), target).is_some()
+    withdrawals.get(cx.now(), target).is_some()
 }
 
 /// Notes which targets want calls again.
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -94,7 +94,7 @@
 
 impl RouterLifecycle {
     /// Handles an event.
-    pub(crate) fn on(&mut self, event: RouterEvent) {
+    pub(crate) fn handle(&mut self, event: RouterEvent) {
         self.machine.handle(&event);
     }
 
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -90,7 +90,7 @@
 
 /// A change in the quarantine of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum QuarantineChange {
     /// The request is quarantined from now on.
     Quarantined,
     /// The request is accepted again.
@@ -139,11 +139,11 @@
 
     /// Handles an answer to a request, whatever its content, from a target that keeps running: the
     /// request is no longer suspected or quarantined.
-    pub fn on_answered(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
+    pub fn on_answered(&mut self, now: Instant, request: Fingerprint) -> Option<QuarantineChange> {
         self.answered.put(request, now);
         self.suspects.remove(&request);
         let was_quarantined = self.quarantined.remove(&request).is_some();
-        was_quarantined.then_some(Change::Released)
+        was_quarantined.then_some(QuarantineChange::Released)
     }
 
     /// Whether a crash of a target may be attributed to a request.
@@ -158,7 +158,7 @@
         now: Instant,
         request: Fingerprint,
         target: TargetHash,
-    ) -> Option<Change> {
+    ) -> Option<QuarantineChange> {
         let change = self.record_crash(now, now, request, target);
         // Only the few routers that saw a crash themselves write the entry.
         if let Some(entry) = self.quarantined.get_mut(&request) {
@@ -180,12 +180,12 @@
     }
 
     /// Handles an entry in the store, which quarantines a request at all routers.
-    pub fn on_stored(&mut self, now: Instant, request: Fingerprint) -> Option<Change> {
+    pub fn on_stored(&mut self, now: Instant, request: Fingerprint) -> Option<QuarantineChange> {
         let was_quarantined = self.quarantine_until(now + QUARANTINE_DURATION, request);
         if let Some(entry) = self.quarantined.get_mut(&request) {
             entry.is_stored = true;
         }
-        (!was_quarantined).then_some(Change::Quarantined)
+        (!was_quarantined).then_some(QuarantineChange::Quarantined)
     }
 
     /// Handles quarantined requests that a peer does not know to be in the store. Returns those
@@ -247,10 +247,10 @@
 
     /// Handles the removal of a request's entry from the store: its lease expired, an operator
     /// removed it, or a router did after a target answered the request.
-    pub fn on_removed(&mut self, request: Fingerprint) -> Option<Change> {
+    pub fn on_removed(&mut self, request: Fingerprint) -> Option<QuarantineChange> {
         self.suspects.remove(&request);
         let was_quarantined = self.quarantined.remove(&request).is_some();
-        was_quarantined.then_some(Change::Released)
+        was_quarantined.then_some(QuarantineChange::Released)
     }
 
     /// Returns the recent crashes to announce to peers, beginning with those of the requests with
@@ -334,7 +334,7 @@
         at: Instant,
         request: Fingerprint,
         target: TargetHash,
-    ) -> Option<Change> {
+    ) -> Option<QuarantineChange> {
         if self.quarantined.contains_key(&request) || !self.may_suspect(now, request) {
             return None;
         }
@@ -353,7 +353,7 @@
             return None;
         }
         self.quarantine_until(now + QUARANTINE_DURATION, request);
-        Some(Change::Quarantined)
+        Some(QuarantineChange::Quarantined)
     }
 
     /// Quarantines a request until `until` at least; returns whether it was quarantined before.
--- a/src/withdrawals.rs
+++ b/src/withdrawals.rs
@@ -145,13 +145,13 @@
 /// Targets that accept no calls from this router.
 #[derive(Debug)]
 pub struct Withdrawals {
-    said: LruCache<TargetId, WithdrawalEntry, FxBuildHasher>,
+    by_target: LruCache<TargetId, WithdrawalEntry, FxBuildHasher>,
 }
 
 impl Default for Withdrawals {
     fn default() -> Self {
         Self {
-            said: LruCache::with_hasher(MAX_REMEMBERED_TARGETS, FxBuildHasher),
+            by_target: LruCache::with_hasher(MAX_REMEMBERED_TARGETS, FxBuildHasher),
         }
     }
 }
@@ -165,19 +165,23 @@
         target: &TargetId,
         withdrawal: Withdrawal,
     ) -> bool {
-        let before = self.said.peek(target).copied().filter(|b| b.is_active(now));
+        let before = self
+            .by_target
+            .peek(target)
+            .copied()
+            .filter(|b| b.is_active(now));
         let current = WithdrawalEntry {
             at: now,
             until: withdrawal.backoff().map(|backoff| now + backoff),
         };
         let current = current.merged_with(before);
-        self.said.put(target.clone(), current);
+        self.by_target.put(target.clone(), current);
         before.is_none_or(|b| b.until.is_some() && current.until.is_none())
     }
 
     /// Returns the withdrawal of a target that accepts no calls now.
-    pub fn of(&self, now: Instant, target: &TargetId) -> Option<Withdrawn> {
-        let withdrawal = self.said.peek(target).filter(|s| s.is_active(now))?;
+    pub fn get(&self, now: Instant, target: &TargetId) -> Option<Withdrawn> {
+        let withdrawal = self.by_target.peek(target).filter(|s| s.is_active(now))?;
         Some(Withdrawn {
             age: now.since(withdrawal.at),
             left: withdrawal.until.map(|until| until.since(now)),
@@ -190,7 +194,7 @@
         now: Instant,
         targets: &'a [Rc<TargetRecord>],
     ) -> Vec<&'a Rc<TargetRecord>> {
-        let accepting = targets.iter().filter(|t| self.of(now, &t.id).is_none());
+        let accepting = targets.iter().filter(|t| self.get(now, &t.id).is_none());
         accepting.collect()
     }
 
@@ -200,7 +204,7 @@
         now: Instant,
         targets: &[Rc<TargetRecord>],
     ) -> Option<PlacementError> {
-        let all: Option<Vec<Withdrawn>> = targets.iter().map(|t| self.of(now, &t.id)).collect();
+        let all: Option<Vec<Withdrawn>> = targets.iter().map(|t| self.get(now, &t.id)).collect();
         let earliest_end = all?.into_iter().filter_map(|w| w.left).min();
         Some(match earliest_end {
             Some(left) => PlacementError::AllBackedOff { left },
@@ -210,17 +214,17 @@
 
     /// Removes backoffs that are over; returns their targets.
     pub fn on_tick(&mut self, now: Instant) -> Vec<TargetId> {
-        let expired = self.said.iter().filter(|(_, s)| !s.is_active(now));
+        let expired = self.by_target.iter().filter(|(_, s)| !s.is_active(now));
         let expired: Vec<TargetId> = expired.map(|(id, _)| id.clone()).collect();
         for target in &expired {
-            self.said.pop(target);
+            self.by_target.pop(target);
         }
         expired
     }
 
     /// Number of targets that accept no calls: those for good, and those for a while.
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let active = self.said.iter().filter(|(_, s)| s.is_active(now));
+        let active = self.by_target.iter().filter(|(_, s)| s.is_active(now));
         let for_good = active.clone().filter(|(_, s)| s.until.is_none()).count();
         (for_good, active.count() - for_good)
     }
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -6,7 +6,7 @@
 use scaleford::{
     fingerprint::Fingerprint,
     ids::TargetId,
-    quarantine::{Change, QUARANTINE_DURATION, Quarantine},
+    quarantine::{QUARANTINE_DURATION, Quarantine, QuarantineChange},
     target_counts::TargetHash,
     units::Instant,
 };
@@ -130,7 +130,11 @@
 
     let mut quarantine = after_endings(3);
     let change = quarantine.on_answered(at(3_500), REQUEST);
-    assert_eq!(change, Some(Change::Released), "a call that still ran");
+    assert_eq!(
+        change,
+        Some(QuarantineChange::Released),
+        "a call that still ran"
+    );
     assert!(quarantine.time_left(at(3_500), REQUEST).is_none());
 }
 
@@ -138,12 +142,12 @@
 fn a_router_that_starts_takes_over_what_the_store_holds_back() {
     let mut quarantine = Quarantine::default();
     let change = quarantine.on_stored(at(0), REQUEST);
-    assert_eq!(change, Some(Change::Quarantined));
+    assert_eq!(change, Some(QuarantineChange::Quarantined));
     assert_eq!(quarantine.on_stored(at(10), REQUEST), None);
     assert!(quarantine.unsaved().is_empty(), "another one entered it");
     assert!(quarantine.time_left(at(20), REQUEST).is_some());
     let change = quarantine.on_removed(REQUEST);
-    assert_eq!(change, Some(Change::Released));
+    assert_eq!(change, Some(QuarantineChange::Released));
     assert!(quarantine.time_left(at(30), REQUEST).is_none());
 }
 
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -152,7 +152,7 @@
         all.on_withdrawal(at(0), &record(n).id, Withdrawal::Leaving);
     }
     assert_eq!(all.counts(at(0)), (4_096, 0));
-    assert!(all.of(at(0), &record(9_999).id).is_some());
+    assert!(all.get(at(0), &record(9_999).id).is_some());
 }
 
 #[rstest]
