--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -257,7 +257,7 @@
         Some(Ask::Claim) => on_claim(cx, req).await.map(Bytes::from),
         Some(Ask::Change) => on_change(cx, req).await.map(Bytes::from),
         Some(Ask::Explain(id)) => {
-            let records = cx.explain.of(&cx.cfg.vm, &id);
+            let records = cx.explain.decisions_on(&cx.cfg.vm, &id);
             serde_json::to_vec(&records)
                 .map(Bytes::from)
                 .map_err(garbled)
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -196,7 +196,7 @@
 pub(super) async fn explain(cx: &Rc<Gateway>, id: &str) -> Response<AnswerBody> {
     let peers = cx.peers.borrow().addresses(cx.now());
     let asks = peers.iter().map(|peer| peer_calls::explain(*peer, id));
-    let mut decisions = cx.explain.of(&cx.cfg.vm, id);
+    let mut decisions = cx.explain.decisions_on(&cx.cfg.vm, id);
     for (peer, told) in peers.iter().zip(join_all(asks).await) {
         match told {
             Ok(records) => decisions.extend(records),
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the recorded decisions on a call, in order.
-    pub fn of(&self, vm: &VmId, call: &str) -> Vec<DecisionRecord> {
+    pub fn decisions_on(&self, vm: &VmId, call: &str) -> Vec<DecisionRecord> {
         let records = self.records.borrow();
         let of_call = records.iter().filter(|(_, id, _)| id == call);
         let record = |(at_ms, request, decision): &(u64, String, Decision)| DecisionRecord {
