--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -78,7 +78,7 @@
             region: name(&format!("region-{}", i % 2)),
             data_hall: name(&format!("hall-{}", i % 6)),
             serves: model(i),
-            weight: Weight::USUAL,
+            weight: Weight::DEFAULT,
             capacity_tokens: None,
             intent: TargetIntent::Serve,
         };
@@ -106,14 +106,14 @@
     let rules = routes::CallerRules {
         limits: CallerLimits::default(),
         chat_timeout: Duration::from_secs(300),
-        longest_silence: Duration::from_secs(60),
+        max_silence: Duration::from_secs(60),
     };
     let serving = || routes::serving(&cfg, Revision(1), &rules);
     let took = time(50, || drop(black_box(serving())));
     println!("configuration: put in force in {took:.0} ns, targets apart");
     let in_force = serving();
     let took = time(20_000, || {
-        drop(black_box(in_force.holder("key-469").cloned()));
+        drop(black_box(in_force.key_owner("key-469").cloned()));
     });
     println!("accounts: finding a key among {ACCOUNTS}: {took:.0} ns");
 }
--- a/src/bin/scaleford/main.rs
+++ b/src/bin/scaleford/main.rs
@@ -43,7 +43,7 @@
 fn check_config(file: &str, as_json: bool) -> Result<ExitCode, String> {
     let text = read(file)?;
     let config: FleetConfig = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
-    Ok(show::faults(as_json, &config.faults()))
+    Ok(show::faults(as_json, &config.validation_errors()))
 }
 
 fn ask(flags: &flags::Scaleford) -> ExitCode {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -16,7 +16,7 @@
 pub type Suspended = Box<dyn Fn() -> Duration>;
 
 /// Minimum suspension that wakes sleeping tasks. Timers can be late by as much without a suspension.
-const NOTICED: Duration = Duration::from_millis(20);
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// A monotonic clock that includes suspensions of the VM.
 pub struct Clock {
@@ -24,10 +24,10 @@
     suspended: Suspended,
     suspended_at_epoch: Duration,
     /// Largest suspended time returned so far, so that the clock never goes backwards when readings vary.
-    seen: Cell<Duration>,
+    max_suspended: Cell<Duration>,
     /// Suspended time at the last call of `on_tick`.
-    waiters_know: Cell<Duration>,
-    woken: Notify,
+    suspended_at_last_tick: Cell<Duration>,
+    wake: Notify,
 }
 
 impl Clock {
@@ -45,9 +45,9 @@
             epoch: tokio::time::Instant::now(),
             suspended_at_epoch: suspended(),
             suspended,
-            seen: Cell::default(),
-            waiters_know: Cell::default(),
-            woken: Notify::new(),
+            max_suspended: Cell::default(),
+            suspended_at_last_tick: Cell::default(),
+            wake: Notify::new(),
         }
     }
 
@@ -59,7 +59,7 @@
     /// Sleeps until an instant, and wakes in time even if the VM is suspended in the meantime.
     pub async fn sleep_until(&self, at: Instant) {
         loop {
-            let woken = self.woken.notified();
+            let woken = self.wake.notified();
             let now = self.now();
             if now >= at {
                 return;
@@ -85,18 +85,19 @@
     /// Wakes sleeping tasks if the VM was suspended since the last call, and returns for how long it was.
     pub fn on_tick(&self) -> Option<Duration> {
         let suspended = self.suspended();
-        let newly_suspended = suspended.saturating_sub(self.waiters_know.replace(suspended));
-        if newly_suspended < NOTICED {
+        let newly_suspended =
+            suspended.saturating_sub(self.suspended_at_last_tick.replace(suspended));
+        if newly_suspended < MIN_SUSPENSION {
             return None;
         }
-        self.woken.notify_waiters();
+        self.wake.notify_waiters();
         Some(newly_suspended)
     }
 
     fn suspended(&self) -> Duration {
         let reading = (self.suspended)().saturating_sub(self.suspended_at_epoch);
-        let largest = self.seen.get().max(reading);
-        self.seen.set(largest);
+        let largest = self.max_suspended.get().max(reading);
+        self.max_suspended.set(largest);
         largest
     }
 }
--- a/src/config/freshness.rs
+++ b/src/config/freshness.rs
@@ -11,11 +11,11 @@
 /// Fraction of the revocation bound for which a confirmation is valid. A watch may return nothing for
 /// one second while the store drops its history, and the remainder has to cover that: with a bound of
 /// 5 s, 3.85 s plus that second leave a margin of 0.15 s.
-const TRUSTED_PART: f64 = 0.77;
+const TRUSTED_FRACTION: f64 = 0.77;
 
 /// A peer's confirmation of the configuration that it applies, in reply to one of our datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Vouch {
+pub struct PeerConfirmation {
     /// When we sent the datagram that the peer replies to, by our clock.
     pub echo: Instant,
     /// Age of the peer's confirmation when it replied.
@@ -29,9 +29,9 @@
 /// A peer's confirmation can be older than this process. If such a confirmation were clamped to the
 /// process start, each restart would make it younger, and revoked keys would continue to work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct ProvenAt(i64);
+struct ConfirmedAt(i64);
 
-impl ProvenAt {
+impl ConfirmedAt {
     fn new(at: Instant) -> Self {
         Self(micros(at.0))
     }
@@ -53,13 +53,13 @@
 /// The most recent confirmation of the applied configuration.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    proven_at: Option<ProvenAt>,
+    confirmed_at: Option<ConfirmedAt>,
     version: ConfigVersion,
     /// Latest version that any peer has reported to apply.
-    vouched: ConfigVersion,
+    latest_peer_version: ConfigVersion,
     /// End of the period after a store rollback in which the store may lack a configuration that this
     /// router has not seen either.
-    unsettled_until: Option<Instant>,
+    revert_grace_until: Option<Instant>,
 }
 
 impl Freshness {
@@ -73,13 +73,13 @@
 
     /// Records that the store was rolled back to an older copy; the lost writes are expected to be
     /// restored by `settled_at`.
-    pub fn on_set_back(&mut self, settled_at: Instant) {
-        self.unsettled_until = Some(settled_at);
+    pub fn on_store_reverted(&mut self, settled_at: Instant) {
+        self.revert_grace_until = Some(settled_at);
     }
 
     /// Records that the operators have written their configuration since the store was rolled back.
-    pub fn on_written_again(&mut self) {
-        self.unsettled_until = None;
+    pub fn on_config_rewritten(&mut self) {
+        self.revert_grace_until = None;
     }
 
     /// Records that the store answered a consistent read sent at `sent` and held the configuration `stored`.
@@ -87,10 +87,10 @@
     /// A store whose configuration is older than one in force at any router has lost later writes and
     /// confirms nothing.
     pub fn on_confirmed(&mut self, sent: Instant, stored: Option<ConfigVersion>) {
-        let latest = self.version.max(self.vouched);
-        let is_settled = self.unsettled_until.is_none_or(|until| sent >= until);
+        let latest = self.version.max(self.latest_peer_version);
+        let is_settled = self.revert_grace_until.is_none_or(|until| sent >= until);
         if is_settled && stored.unwrap_or_default() >= latest {
-            self.proven_at = self.proven_at.max(Some(ProvenAt::new(sent)));
+            self.confirmed_at = self.confirmed_at.max(Some(ConfirmedAt::new(sent)));
         }
     }
 
@@ -98,17 +98,17 @@
     ///
     /// It also confirms a later configuration applied here, which includes everything in the peer's, but
     /// not an earlier one.
-    pub fn on_vouch(&mut self, vouch: Vouch) {
-        let proof = ProvenAt::before(vouch.echo, vouch.age);
-        self.vouched = self.vouched.max(vouch.version);
+    pub fn on_peer_confirmation(&mut self, vouch: PeerConfirmation) {
+        let proof = ConfirmedAt::before(vouch.echo, vouch.age);
+        self.latest_peer_version = self.latest_peer_version.max(vouch.version);
         if vouch.version <= self.version {
-            self.proven_at = self.proven_at.max(Some(proof));
+            self.confirmed_at = self.confirmed_at.max(Some(proof));
         }
     }
 
     /// Returns the age of the most recent confirmation, or `None` before the first.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.proven_at.map(|at| at.age(now))
+        self.confirmed_at.map(|at| at.age(now))
     }
 
     /// Returns the version of the applied configuration.
@@ -119,6 +119,6 @@
     /// Returns whether the confirmation is recent enough to accept keys of the applied configuration.
     pub fn may_use_keys(&self, now: Instant, revoke_bound: Duration) -> bool {
         self.age(now)
-            .is_some_and(|age| age < revoke_bound.mul_f64(TRUSTED_PART))
+            .is_some_and(|age| age < revoke_bound.mul_f64(TRUSTED_FRACTION))
     }
 }
--- a/src/config/log.rs
+++ b/src/config/log.rs
@@ -8,7 +8,7 @@
 use crate::ids::{ChangeId, Revision};
 
 /// Maximum number of recent changes that a router keeps for peers that lag behind.
-pub const RING: usize = 512;
+pub const MAX_RECENT_CHANGES: usize = 512;
 
 /// Hash of a configuration's history of changes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -104,7 +104,7 @@
     /// The missing changes, in order.
     Changes(Vec<Arc<Change>>),
     /// The complete configuration: the router lags by more changes than are kept, or has a different history.
-    Whole(Box<Snapshot>),
+    Snapshot(Box<Snapshot>),
 }
 
 /// The configuration in force at one router, with its recent changes.
@@ -140,7 +140,7 @@
     /// Applies a change if it directly follows the current history. Its source does not matter.
     pub fn on_change(&mut self, change: Change) -> ChangeOutcome {
         match change.revision {
-            r if r <= self.revision => self.judge_old(&change),
+            r if r <= self.revision => self.classify_known_change(&change),
             r if r.0 > self.revision.0 + 1 => ChangeOutcome::Gap,
             _ if change.previous != self.digest => ChangeOutcome::Conflict,
             _ => {
@@ -171,7 +171,7 @@
         match self.recent.iter().position(|c| follows(&c)) {
             _ if since >= self.revision => Update::Current,
             Some(at) => Update::Changes(self.recent.iter().skip(at).cloned().collect()),
-            None => Update::Whole(Box::new(self.snapshot())),
+            None => Update::Snapshot(Box::new(self.snapshot())),
         }
     }
 
@@ -184,7 +184,7 @@
         }
     }
 
-    fn judge_old(&self, change: &Change) -> ChangeOutcome {
+    fn classify_known_change(&self, change: &Change) -> ChangeOutcome {
         let known = self.recent.iter().find(|c| c.revision == change.revision);
         match known {
             Some(c) if **c != *change => ChangeOutcome::Conflict,
@@ -198,7 +198,7 @@
         self.revision = change.revision;
         self.digest = change.digest();
         self.recent.push_back(Arc::new(change));
-        if self.recent.len() > RING {
+        if self.recent.len() > MAX_RECENT_CHANGES {
             self.recent.pop_front();
         }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -11,7 +11,7 @@
 pub mod routes;
 pub mod serving;
 
-pub use log::{Change, ChangeOutcome, ConfigLog, Digest, RING, Snapshot, Update};
+pub use log::{Change, ChangeOutcome, ConfigLog, Digest, MAX_RECENT_CHANGES, Snapshot, Update};
 pub use model::{
     ClientAccount, Edit, FleetConfig, KeyHash, Model, RouteRule, Serves, Service, Target,
     TargetIntent,
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -116,8 +116,8 @@
     /// Returns the pool's name, which is unique among models and services.
     pub fn pool(&self) -> ServiceName {
         match self {
-            Self::Model(name) => ServiceName::of_pool("model", name.as_str()),
-            Self::Service(name) => ServiceName::of_pool("service", name.as_str()),
+            Self::Model(name) => ServiceName::pool_name("model", name.as_str()),
+            Self::Service(name) => ServiceName::pool_name("service", name.as_str()),
         }
     }
 }
@@ -305,7 +305,7 @@
     }
 
     /// Returns every dangling reference and every value out of range, each as path and reason.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let dangling = self.targets.iter().filter_map(|(id, t)| match &t.serves {
             Serves::Model(m) if !self.models.contains_key(m) => {
                 Some(format!("targets.{id}.serves.model: no model {m}"))
@@ -318,7 +318,7 @@
         let limits = self
             .accounts
             .iter()
-            .flat_map(|(id, a)| account_faults(id, a));
+            .flat_map(|(id, a)| account_errors(id, a));
         let timeouts = self
             .services
             .iter()
@@ -330,7 +330,7 @@
     }
 }
 
-fn account_faults(id: &ClientAccountId, account: &ClientAccount) -> Vec<String> {
+fn account_errors(id: &ClientAccountId, account: &ClientAccount) -> Vec<String> {
     let checks = [
         (account.requests_per_s == 0, "requests_per_s: 0"),
         (account.concurrency == 0, "concurrency: 0"),
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -5,7 +5,7 @@
 use super::{
     ClientAccount, FleetConfig, Model, Serves, Service, Target, TargetIntent,
     serving::{
-        CallKind, CallerLimits, EngineSpec, KeyHolder, Route, ServiceSpec, ServingConfig,
+        CallKind, CallerLimits, EngineSpec, KeyOwner, Route, ServiceSpec, ServingConfig,
         StreamRepeats,
     },
 };
@@ -24,17 +24,17 @@
 const MODEL_PREFIX: &str = "model ";
 
 /// Maximum number of targets that one request is sent to. The second one also fails occasionally.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Assumed number of concurrent requests of a target of the default weight: the batch size in the data
 /// sheets of the users' engines.
-const USUAL_SLOTS: u32 = 64;
+const DEFAULT_SLOTS: u32 = 64;
 
 /// Assumed size of an engine's memory in tokens, approximately that of the users' data sheets.
-const USUAL_MEMORY: u64 = 400_000;
+const DEFAULT_MEMORY_TOKENS: u64 = 400_000;
 
 /// Expected length of a response if neither the caller nor the model specifies one.
-const USUAL_ANSWER: Tokens = Tokens(256);
+const DEFAULT_RESPONSE: Tokens = Tokens(256);
 
 /// Limits on callers that are given by the settings rather than the configuration.
 #[derive(Debug, Clone, Copy)]
@@ -44,7 +44,7 @@
     /// Maximum duration of a chat request.
     pub chat_timeout: Duration,
     /// Maximum pause of a target within a response.
-    pub longest_silence: Duration,
+    pub max_silence: Duration,
 }
 
 /// Returns the path under which the route of a model's chats is registered.
@@ -60,7 +60,7 @@
         ConfigVersion(revision.0),
         rules.limits,
     );
-    serving.keyed = true;
+    serving.requires_keys = true;
     for (id, account) in &config.accounts {
         add_keys(&mut serving, id, account);
     }
@@ -92,11 +92,11 @@
 }
 
 fn slots(weight: Weight) -> u32 {
-    (USUAL_SLOTS * weight.get() / Weight::USUAL.get()).max(1)
+    (DEFAULT_SLOTS * weight.get() / Weight::DEFAULT.get()).max(1)
 }
 
 fn add_keys(serving: &mut ServingConfig, id: &ClientAccountId, account: &ClientAccount) {
-    let holder = KeyHolder {
+    let holder = KeyOwner {
         account: id.clone(),
         rank: Some(account.priority.rank()),
         limits: Some(AccountLimits {
@@ -112,17 +112,17 @@
 fn add_model(serving: &mut ServingConfig, name: &ModelName, model: &Model, rules: &CallerRules) {
     let pool = Serves::Model(name.clone()).pool();
     let usual_answer = match model.usual_answer_tokens {
-        0 => USUAL_ANSWER,
+        0 => DEFAULT_RESPONSE,
         n => Tokens(n.into()),
     };
     let spec = ServiceSpec {
         max_conns: u32::MAX,
         warm_up: None,
         engine: Some(EngineSpec {
-            slots: USUAL_SLOTS,
-            memory_tokens: USUAL_MEMORY,
-            moves: false,
-            usual_answer: Some(usual_answer),
+            slots: DEFAULT_SLOTS,
+            memory_tokens: DEFAULT_MEMORY_TOKENS,
+            can_fetch_prompts: false,
+            expected_response: Some(usual_answer),
         }),
     };
     serving.add_service(pool.clone(), spec);
@@ -137,8 +137,8 @@
             kind,
             timeout: rules.chat_timeout,
             goal: rules.chat_timeout,
-            longest_silence: rules.longest_silence,
-            max_attempts: ATTEMPTS,
+            max_silence: rules.max_silence,
+            max_attempts: MAX_ATTEMPTS,
             split: vec![(pool.clone(), 1)],
             ..Route::default()
         });
@@ -163,12 +163,12 @@
     let usual = Route {
         name: pool.to_string(),
         path_prefix: format!("{hidden_prefix}/"),
-        hidden_prefix: hidden_prefix.clone(),
+        stripped_prefix: hidden_prefix.clone(),
         kind: CallKind::Safe,
         timeout,
         goal: timeout,
-        longest_silence: rules.longest_silence,
-        max_attempts: ATTEMPTS,
+        max_silence: rules.max_silence,
+        max_attempts: MAX_ATTEMPTS,
         rank: Rank(1),
         split: vec![(pool, 1)],
         ..Route::default()
--- a/src/config/serving.rs
+++ b/src/config/serving.rs
@@ -67,7 +67,7 @@
     /// Method; `None` for any.
     pub method: Option<Method>,
     /// Prefix that is removed from the path before the request is forwarded to the target.
-    pub hidden_prefix: String,
+    pub stripped_prefix: String,
     /// Whether its requests may be repeated, and whether they are streams.
     pub kind: CallKind,
     /// Whether its requests carry an idempotency key under which they are claimed, so that each runs at most
@@ -80,7 +80,7 @@
     /// Maximum pause between two events of a stream that counts as on time; `None` for no such goal.
     pub gap_goal: Option<Duration>,
     /// Maximum pause of a target within a response that no other target can resume.
-    pub longest_silence: Duration,
+    pub max_silence: Duration,
     /// Maximum number of targets that one request is sent to.
     pub max_attempts: u32,
     /// Urgency of its requests, unless the account has its own.
@@ -93,7 +93,7 @@
 
 /// The parts of a request that routes match.
 #[derive(Debug, Clone, Default)]
-pub struct Asked {
+pub struct RoutingKey {
     /// Host, including the port if one was sent.
     pub host: String,
     /// HTTP method.
@@ -116,7 +116,7 @@
         None
     }
 
-    fn takes(&self, routing_key: &Asked) -> bool {
+    fn matches(&self, routing_key: &RoutingKey) -> bool {
         let by_method = self
             .method
             .as_ref()
@@ -144,9 +144,9 @@
     /// Size of the memory in tokens, shared by running requests and cached prompts.
     pub memory_tokens: u64,
     /// Whether an engine can fetch a cached prompt from another engine's memory.
-    pub moves: bool,
+    pub can_fetch_prompts: bool,
     /// Expected length of a response; `None` if it does not count as work in progress.
-    pub usual_answer: Option<Tokens>,
+    pub expected_response: Option<Tokens>,
 }
 
 /// Limits on what callers may send.
@@ -157,11 +157,11 @@
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Maximum time to receive a request head.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Maximum time to receive a request body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Maximum idle time of a keep-alive connection.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -170,16 +170,16 @@
         Self {
             header_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            header_time: Duration::from_secs(3),
-            body_time: Duration::from_secs(30),
-            idle_time: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            body_timeout: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
 /// The client account that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeyHolder {
+pub struct KeyOwner {
     /// Id of the account.
     pub account: ClientAccountId,
     /// The account's own rank, which overrides that of the route.
@@ -198,11 +198,11 @@
     /// Limits on callers.
     pub limits: CallerLimits,
     /// Whether requests need keys, except on public routes.
-    pub keyed: bool,
+    pub requires_keys: bool,
     hosts: HashMap<String, Vec<Rc<Route>>>,
     services: HashMap<ServiceName, ServiceSpec>,
-    goals: HashMap<ServiceName, Duration>,
-    keys: HashMap<KeyHash, KeyHolder>,
+    shortest_goals: HashMap<ServiceName, Duration>,
+    keys: HashMap<KeyHash, KeyOwner>,
 }
 
 /// Why the configuration does not allow a request.
@@ -235,7 +235,10 @@
     /// Adds a route. Look-ups prefer the longest matching prefix, then a route that names the method.
     pub fn add_route(&mut self, route: Route) {
         for (service, _) in &route.split {
-            let goal = self.goals.entry(service.clone()).or_insert(route.goal);
+            let goal = self
+                .shortest_goals
+                .entry(service.clone())
+                .or_insert(route.goal);
             *goal = route.goal.min(*goal);
         }
         let routes = self.hosts.entry(route.host.clone()).or_default();
@@ -250,16 +253,16 @@
     }
 
     /// Adds the hash of an account's key.
-    pub fn add_key(&mut self, key: KeyHash, holder: KeyHolder) {
+    pub fn add_key(&mut self, key: KeyHash, holder: KeyOwner) {
         self.keys.insert(key, holder);
     }
 
     /// Returns the route for a request.
-    pub fn route(&self, routing_key: &Asked) -> Option<&Rc<Route>> {
+    pub fn route(&self, routing_key: &RoutingKey) -> Option<&Rc<Route>> {
         let host = routing_key.host.as_str();
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
-        routes.iter().find(|r| r.takes(routing_key))
+        routes.iter().find(|r| r.matches(routing_key))
     }
 
     /// Returns the properties of a service.
@@ -269,24 +272,24 @@
 
     /// Returns the shortest latency goal among the routes of a service.
     pub fn shortest_goal(&self, name: &ServiceName) -> Option<Duration> {
-        self.goals.get(name).copied()
+        self.shortest_goals.get(name).copied()
     }
 
     /// Returns the account that a key belongs to.
-    pub fn holder(&self, key: &str) -> Option<&KeyHolder> {
+    pub fn key_owner(&self, key: &str) -> Option<&KeyOwner> {
         self.keys.get(&KeyHash::of(key))
     }
 
     /// Returns the route and the account of a request, or why it is not allowed.
     pub fn admit(
         &self,
-        routing_key: &Asked,
+        routing_key: &RoutingKey,
         key: Option<&str>,
-    ) -> Result<(Rc<Route>, Option<KeyHolder>), Denied> {
+    ) -> Result<(Rc<Route>, Option<KeyOwner>), Denied> {
         let route = self.route(routing_key).ok_or(Denied::NoRoute)?;
-        let holder = key.and_then(|k| self.holder(k)).cloned();
+        let holder = key.and_then(|k| self.key_owner(k)).cloned();
         match holder {
-            None if self.keyed && !route.public => Err(Denied::WrongKey),
+            None if self.requires_keys && !route.public => Err(Denied::WrongKey),
             holder => Ok((Rc::clone(route), holder)),
         }
     }
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     ResultCode,
-    config::serving::Asked,
+    config::serving::RoutingKey,
     ids::{ClientAccountId, ConversationKey, TargetId},
     load_account::ReportedLoad,
     prompt_cache::PromptPart,
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct CallFacts {
     /// What it asks for.
-    pub asked: Asked,
+    pub asked: RoutingKey,
     /// What it is told if there is no such thing.
     pub unknown: Refusal,
     /// How long the caller waits from when it sent the call.
@@ -48,7 +48,7 @@
 impl Default for CallFacts {
     fn default() -> Self {
         Self {
-            asked: Asked::default(),
+            asked: RoutingKey::default(),
             unknown: Refusal::new(ResultCode::UnknownPath, "no such path"),
             deadline: None,
             key: None,
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -51,7 +51,7 @@
     /// Returns how many of the `missing` tokens another target has read.
     fn read_elsewhere(&self, missing: Tokens) -> Tokens {
         let least = self.least_missing;
-        least.map_or(Tokens(0), |least| missing.less(least))
+        least.map_or(Tokens(0), |least| missing.saturating_sub(least))
     }
 }
 
@@ -211,7 +211,7 @@
             survival: Survival::new(self.load.age(now), slot_time),
             limit: self.admission.limit(&plan.service, plan.goal),
             least_missing: self.least_missing(now, plan),
-            can_fetch: plan.engine.is_some_and(|e| e.moves),
+            can_fetch: plan.engine.is_some_and(|e| e.can_fetch_prompts),
         };
         let first = plan.chat.and_then(|chat| first_choice(targets, chat));
         let expected = first.filter(|_| !self.is_history_cached(targets, plan));
@@ -432,12 +432,12 @@
         plan: &CallPlan,
         chosen: &TargetView,
     ) -> Option<Rc<TargetRecord>> {
-        if !plan.engine.is_some_and(|e| e.moves) {
+        if !plan.engine.is_some_and(|e| e.can_fetch_prompts) {
             return None;
         }
         let missing = |t: &&Rc<TargetRecord>| self.cache.missing(&t.id, &plan.prompt);
         let source = self.fetch_sources(now, plan).min_by_key(missing)?;
-        let saved = chosen.missing.less(missing(&source));
+        let saved = chosen.missing.saturating_sub(missing(&source));
         (saved >= MIN_FETCH_TOKENS).then(|| Rc::clone(source))
     }
 
--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -4,7 +4,7 @@
 
 use super::gateway::Gateway;
 use crate::{
-    config::serving::KeyHolder,
+    config::serving::KeyOwner,
     ids::{ClientAccountId, VmId},
     limits::{AccountLimits, Demand, Grant, Limiter, ShareKeeper},
     membership::datagram::Message,
@@ -36,7 +36,7 @@
 /// Takes a call of an account in, or says when to come back; `None` where it has no limits.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
-    holder: Option<&KeyHolder>,
+    holder: Option<&KeyOwner>,
 ) -> Result<Option<AccountPlace>, std::time::Duration> {
     let limited = holder.and_then(|h| h.limits.map(|limits| (&h.account, limits)));
     let Some((account, limits)) = limited else {
--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -17,7 +17,7 @@
 use crate::{
     ResultCode,
     admission::{surge::Surge, wait_for_config},
-    config::serving::{Denied, KeyHolder, Route},
+    config::serving::{Denied, KeyOwner, Route},
     dialect::{CallFacts, Refusal},
     dispatcher::CallPlan,
     explain::Decision,
@@ -110,7 +110,7 @@
         let why = "as many calls in progress as there may be";
         return Err(Refusal::new(ResultCode::RouterFull, why));
     }
-    let needs_key = config.keyed && !route.public;
+    let needs_key = config.requires_keys && !route.public;
     if needs_key && !cx.may_use_keys(received) {
         let why = "configuration too old to trust keys";
         return Err(Refusal::new(ResultCode::ConfigTooOld, why));
@@ -149,7 +149,7 @@
         shared_parts: facts.shared_parts,
         chat: chat_within(&facts, holder.as_ref()),
         answer: engine
-            .and_then(|e| e.usual_answer)
+            .and_then(|e| e.expected_response)
             .map_or(Tokens(0), |usual| facts.answer.unwrap_or(usual)),
         hash,
         engine,
@@ -204,14 +204,14 @@
 
 fn chat_within(
     facts: &CallFacts,
-    holder: Option<&KeyHolder>,
+    holder: Option<&KeyOwner>,
 ) -> Option<crate::ids::ConversationKey> {
     let chat = facts.chat?;
     Some(holder.map_or(chat, |h| chat.within(&h.account)))
 }
 
 /// The account's rank or else the route's; less urgent where the caller wishes it.
-fn rank(facts: &CallFacts, route: &Route, holder: Option<&KeyHolder>) -> Rank {
+fn rank(facts: &CallFacts, route: &Route, holder: Option<&KeyOwner>) -> Rank {
     let own = holder.and_then(|h| h.rank).unwrap_or(route.rank);
     let own = if route.claimed { route.rank } else { own };
     facts.rank.map_or(own, |asked| asked.max(own))
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -20,7 +20,7 @@
     withdrawals,
 };
 use crate::{
-    config::serving::{KeyHolder, Route},
+    config::serving::{KeyOwner, Route},
     dialect::{AnswerFacts, CallFacts, Handover, Refused},
     dispatcher::{CallPlan, Ticket},
     explain::Decision,
@@ -41,7 +41,7 @@
     pub(crate) fingerprint: Fingerprint,
     pub(crate) facts: CallFacts,
     pub(crate) route: Rc<Route>,
-    pub(crate) holder: Option<KeyHolder>,
+    pub(crate) holder: Option<KeyOwner>,
     pub(crate) plan: CallPlan,
     pub(crate) conn_limit: usize,
     pub(crate) received: Instant,
@@ -63,7 +63,7 @@
     /// The path as the target sees it; the caller's own where nothing is hidden.
     fn handed_uri(&self) -> Uri {
         let uri = &self.head.uri;
-        let hidden = self.route.hidden_prefix.as_str();
+        let hidden = self.route.stripped_prefix.as_str();
         let shown = uri
             .path_and_query()
             .and_then(|p| p.as_str().strip_prefix(hidden));
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -112,7 +112,7 @@
             let facts = cx.dialect.read_call(head, &Bytes::new(), None);
             let key = facts.ok().and_then(|f| f.key);
             let config = cx.serving();
-            let holds = |key: &str| config.as_ref().is_some_and(|c| c.holder(key).is_some());
+            let holds = |key: &str| config.as_ref().is_some_and(|c| c.key_owner(key).is_some());
             match key.as_deref().is_some_and(holds) {
                 true => models(cx),
                 false => reply::error(ResultCode::WrongKey, "no such key"),
@@ -159,7 +159,7 @@
         return Ok(None);
     }
     let reading = Limited::new(incoming, limits.body_bytes).collect();
-    let until = cx.now() + limits.body_time;
+    let until = cx.now() + limits.body_timeout;
     match cx.clock.timeout_at(until, reading).await {
         Some(Ok(body)) => Ok(Some(body.to_bytes())),
         Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Ok(None),
--- a/src/edge/claim_keeper.rs
+++ b/src/edge/claim_keeper.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     claims::{Batch, ClaimShard, ClaimStep, ClaimVerdict},
-    store::{MetaStore, StoreError, Swap},
+    store::{MetaStore, StoreError, SwapResult},
     units::StoreRevision,
 };
 
@@ -147,7 +147,9 @@
             return Ok(verdicts);
         }
     }
-    Err(StoreError::Garbled("claims: too many keepers".to_owned()))
+    Err(StoreError::InvalidResponse(
+        "claims: too many keepers".to_owned(),
+    ))
 }
 
 async fn write(
@@ -156,22 +158,23 @@
     current: &mut Kept,
     batch: Batch,
 ) -> Result<Option<Vec<ClaimVerdict>>, StoreError> {
-    let value = serde_json::to_vec(&batch.chunk).map_err(|e| StoreError::Garbled(e.to_string()))?;
+    let value =
+        serde_json::to_vec(&batch.chunk).map_err(|e| StoreError::InvalidResponse(e.to_string()))?;
     let key = ClaimShard::store_key(number, batch.number);
     let expected = current
         .revision
         .filter(|_| current.shard.number() == batch.number);
     let swap = match store.swap(&key, expected, value.clone()).await {
         Ok(swap) => swap,
-        Err(StoreError::SetBack) => Swap::Conflict,
+        Err(StoreError::Reverted) => SwapResult::Conflict,
         Err(_) => settle(store, &key, &value).await?,
     };
     match swap {
-        Swap::Conflict => {
+        SwapResult::Conflict => {
             current.is_stale = true;
             Ok(None)
         }
-        Swap::Done(revision) => {
+        SwapResult::Done(revision) => {
             let verdicts = batch.verdicts.clone();
             current.shard.commit(batch);
             current.revision = Some(revision);
@@ -184,10 +187,10 @@
 ///
 /// A write that did not may still be on its way, so "not written" is never concluded here: the
 /// batch is decided anew and competes with it for the same place.
-async fn settle(store: &dyn MetaStore, key: &str, value: &[u8]) -> Result<Swap, StoreError> {
+async fn settle(store: &dyn MetaStore, key: &str, value: &[u8]) -> Result<SwapResult, StoreError> {
     match store.get(key).await? {
-        Some(entry) if entry.value == value => Ok(Swap::Done(entry.revision)),
-        _ => Ok(Swap::Conflict),
+        Some(entry) if entry.value == value => Ok(SwapResult::Done(entry.revision)),
+        _ => Ok(SwapResult::Conflict),
     }
 }
 
@@ -206,7 +209,7 @@
     };
     let newest = entries.last().map_or_else(String::new, |e| e.key.clone());
     for entry in entries {
-        let fault = |e: String| StoreError::Garbled(format!("{}: {e}", entry.key));
+        let fault = |e: String| StoreError::InvalidResponse(format!("{}: {e}", entry.key));
         let place = entry.key[prefix.len()..].parse();
         let place = place.map_err(|e: std::num::ParseIntError| fault(e.to_string()))?;
         let chunk = serde_json::from_slice(&entry.value).map_err(|e| fault(e.to_string()))?;
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -16,7 +16,7 @@
     intent::{self, IntentError, Plan},
     result_code::ResultCode,
     store::{
-        StoreError, Swap,
+        StoreError, SwapResult,
         own::{SNAPSHOT_KEY, change_key},
     },
 };
@@ -93,8 +93,8 @@
         }
         cx.metrics.on_store_call("confirm");
         match cx.store.swap(&key, None, value.clone()).await {
-            Ok(Swap::Done(_)) => return Ok(Written::Accepted(change)),
-            Ok(Swap::Conflict) => match whose(cx, &key, &change).await {
+            Ok(SwapResult::Done(_)) => return Ok(Written::Accepted(change)),
+            Ok(SwapResult::Conflict) => match whose(cx, &key, &change).await {
                 Some(true) => return Ok(Written::Accepted(change)),
                 Some(false) => return Ok(Written::Lost),
                 None => {}
@@ -139,7 +139,8 @@
 /// Stores the whole configuration and removes changes that it makes needless.
 async fn store_snapshot(cx: &Rc<Gateway>) -> Result<(), StoreError> {
     let snapshot = cx.fleet.with_log(crate::config::ConfigLog::snapshot);
-    let value = serde_json::to_vec(&snapshot).map_err(|e| StoreError::Garbled(e.to_string()))?;
+    let value =
+        serde_json::to_vec(&snapshot).map_err(|e| StoreError::InvalidResponse(e.to_string()))?;
     let known = cx.store.get(SNAPSHOT_KEY).await?;
     cx.store
         .swap(SNAPSHOT_KEY, known.map(|e| e.revision), value)
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -118,7 +118,7 @@
     let cx = Rc::clone(cx);
     tokio::task::spawn_local(async move {
         cx.metrics.on_store_call("held");
-        if let Err(e) = cx.store.remove(&own::held_key(request)).await {
+        if let Err(e) = cx.store.remove(&own::quarantine_key(request)).await {
             info!(cx.log, "entry of a held request not removed"; "fingerprint" => %request, "why" => %e);
         }
     });
@@ -207,9 +207,9 @@
         }
         for request in unsaved {
             cx.metrics.on_store_call("held");
-            let key = own::held_key(request);
+            let key = own::quarantine_key(request);
             let by = cx.cfg.vm.to_string().into_bytes();
-            match cx.store.put_for(&key, by, QUARANTINE_DURATION).await {
+            match cx.store.put_with_ttl(&key, by, QUARANTINE_DURATION).await {
                 Ok(()) => {
                     let now = cx.now();
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -7,8 +7,8 @@
 
 use super::{fleet, gateway::Gateway};
 use crate::{
-    config::freshness::Vouch,
-    store::{Mirrored, StoreError},
+    config::freshness::PeerConfirmation,
+    store::{MirrorReply, StoreError},
     units::{ConfigVersion, Instant, StoreRevision},
 };
 
@@ -55,9 +55,9 @@
 
 impl Proof {
     /// What a peer vouches for by an answer to a question that was sent at `asked`.
-    pub(super) fn vouch(self, asked: Instant) -> Vouch {
+    pub(super) fn vouch(self, asked: Instant) -> PeerConfirmation {
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
-        Vouch {
+        PeerConfirmation {
             echo: asked + ms(self.held_ms),
             age: ms(self.age_ms),
             version: self.version,
@@ -133,10 +133,10 @@
         return Ok(kept.body.clone());
     }
     let mut told = cx.mirror.borrow().since(after);
-    if let Some(Mirrored::Changes(news) | Mirrored::List(news)) = &mut told {
+    if let Some(MirrorReply::Changes(news) | MirrorReply::List(news)) = &mut told {
         news.items.extend(unseen);
     }
-    let body = encode(&told.unwrap_or(Mirrored::Nothing))?;
+    let body = encode(&told.unwrap_or(MirrorReply::Nothing))?;
     answers.0.truncate(ANSWERS_KEPT - 1);
     let kept = Answer {
         after,
@@ -147,7 +147,7 @@
     Ok(body)
 }
 
-fn encode(told: &Mirrored) -> Result<Bytes, StoreError> {
+fn encode(told: &MirrorReply) -> Result<Bytes, StoreError> {
     let mut plain = vec![PLAIN];
     plain = postcard::to_extend(told, plain).map_err(garbled)?;
     if plain.len() < PACKED_FROM {
@@ -162,7 +162,7 @@
 }
 
 /// Decodes an answer of a peer.
-pub(super) fn decode(body: &[u8]) -> Result<Mirrored, StoreError> {
+pub(super) fn decode(body: &[u8]) -> Result<MirrorReply, StoreError> {
     match body.split_first() {
         Some((&PLAIN, plain)) => postcard::from_bytes(plain).map_err(garbled),
         Some((&PACKED, packed)) => {
@@ -174,5 +174,5 @@
 }
 
 fn garbled(e: impl std::fmt::Display) -> StoreError {
-    StoreError::Garbled(e.to_string())
+    StoreError::InvalidResponse(e.to_string())
 }
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -125,7 +125,7 @@
 pub(crate) fn newest_stored(cx: &Gateway) -> Revision {
     let mirror = cx.mirror.borrow();
     let newest = mirror.last_key(own::CHANGE_PREFIX);
-    newest.and_then(own::change_of).unwrap_or_default()
+    newest.and_then(own::change_revision).unwrap_or_default()
 }
 
 /// Changes in force here that the store is not known to hold.
@@ -166,7 +166,7 @@
             // Whoever creates the key first, the content is the same; another content shows as a
             // conflict when it is read.
             Ok(value) => cx.store.swap(&key, None, value).await.map(|_| ()),
-            Err(e) => Err(crate::store::StoreError::Garbled(e.to_string())),
+            Err(e) => Err(crate::store::StoreError::InvalidResponse(e.to_string())),
         };
         if let Err(e) = written {
             warn!(cx.log, "change not given back"; "revision" => change.revision.0, "why" => %e);
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -19,7 +19,7 @@
     config::Change,
     ids::Revision,
     membership::readers::{NextRead, ReadState},
-    store::{Mirrored, StoreError, StoreNews},
+    store::{MirrorReply, StoreError, StoreUpdate},
     units::{Instant, StoreRevision},
 };
 
@@ -136,19 +136,21 @@
         &self,
         reader: SocketAddr,
         asked: Instant,
-        told: Mirrored,
+        told: MirrorReply,
         proof: Option<Proof>,
     ) {
         let cx = &self.cx;
-        let is_news = told != Mirrored::Nothing;
+        let is_news = told != MirrorReply::Nothing;
         match told {
-            Mirrored::Changes(news) => take_news(cx, &news, false, reader),
-            Mirrored::List(news) => take_news(cx, &news, true, reader),
-            Mirrored::Nothing => log_if_behind(cx, reader),
+            MirrorReply::Changes(news) => take_news(cx, &news, false, reader),
+            MirrorReply::List(news) => take_news(cx, &news, true, reader),
+            MirrorReply::Nothing => log_if_behind(cx, reader),
         }
         let is_fed = cx.peers.borrow().is_fed(cx.now());
         if let Some(proof) = proof.filter(|_| is_fed) {
-            cx.freshness.borrow_mut().on_vouch(proof.vouch(asked));
+            cx.freshness
+                .borrow_mut()
+                .on_peer_confirmation(proof.vouch(asked));
         }
         let is_recent = proof.is_some_and(Proof::is_recent);
         if is_fed && !is_recent {
@@ -191,7 +193,7 @@
         };
         match answer {
             Ok(news) => self.on_answer(&news, sent, &unseen).await,
-            Err(StoreError::HistoryGone | StoreError::SetBack) => {
+            Err(StoreError::HistoryGone | StoreError::Reverted) => {
                 self.cx.metrics.on_store_call("history_gone");
                 warn!(self.cx.log, "store history gone"; "after" => at.number, "era" => at.era.0);
                 self.listed = false;
@@ -203,7 +205,7 @@
         }
     }
 
-    async fn on_answer(&mut self, news: &StoreNews, sent: Instant, unseen: &[Revision]) {
+    async fn on_answer(&mut self, news: &StoreUpdate, sent: Instant, unseen: &[Revision]) {
         let cx = &self.cx;
         cx.metrics.on_store_call("answered");
         self.backoff = FIRST_BACKOFF;
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -302,7 +302,7 @@
     }
     exchange::on_datagram(cx, udp, from, &told, joined);
     if let Some(vouch) = cx.peers.borrow().vouch(&told) {
-        cx.freshness.borrow_mut().on_vouch(vouch);
+        cx.freshness.borrow_mut().on_peer_confirmation(vouch);
     }
     endings::on_peer(cx, now, &told.endings, &told.held);
     let mut dispatcher = cx.dispatcher.borrow_mut();
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -106,7 +106,7 @@
         tokio::time::sleep(pause).await;
         let limits = cx.caller_limits();
         let rested = cx.now().since(rest.since.get());
-        let longest = limits.idle_time + IDLE_SLACK;
+        let longest = limits.idle_timeout + IDLE_SLACK;
         if rest.busy.get() {
             continue;
         }
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -10,7 +10,7 @@
     discovery::{Changes, ListChange, RETURN_GRACE, TargetChange},
     ids::{DataHall, TargetId, TargetName},
     store::{
-        StoreChange, StoreItem, StoreNews,
+        StoreChange, StoreItem, StoreUpdate,
         own::{self, OwnEntry},
     },
     units::{Instant, StoreRevision},
@@ -20,7 +20,7 @@
 const TARGETS_NAMED: usize = 200;
 
 /// Takes in what the store or a reader told.
-pub(super) fn take_news(cx: &Gateway, news: &StoreNews, is_list: bool, from: SocketAddr) {
+pub(super) fn take_news(cx: &Gateway, news: &StoreUpdate, is_list: bool, from: SocketAddr) {
     let now = cx.now();
     let known = cx.mirror.borrow().revision();
     match news.revision.era {
@@ -54,14 +54,14 @@
             Ok(StoreChange::Config(config)) => apply(cx, *config, from),
             Ok(StoreChange::Target(record)) if is_list => list.push((record, at)),
             Ok(StoreChange::Target(record)) => changes.push((ListChange::Put(record), at)),
-            Ok(StoreChange::TargetGone(name)) => changes.push((ListChange::Removed(name), at)),
+            Ok(StoreChange::TargetRemoved(name)) => changes.push((ListChange::Removed(name), at)),
             Ok(StoreChange::TargetUnusable { name, why }) => {
                 log_unusable(cx, &name, &why, at);
                 changes.push((ListChange::Unusable(name), at));
             }
             Ok(StoreChange::HallEvacuated(hall)) if is_list => evacuated.push((hall, at)),
             Ok(StoreChange::HallEvacuated(hall)) => on_hall(cx, now, hall, true, at),
-            Ok(StoreChange::HallTakenBack(hall)) => on_hall(cx, now, hall, false, at),
+            Ok(StoreChange::HallEvacuationEnded(hall)) => on_hall(cx, now, hall, false, at),
             Ok(StoreChange::Other) => {}
             Err(why) => not_understood(cx, item, &why),
         }
@@ -90,7 +90,7 @@
         "revision" => revision.number, "known" => known.number, "from" => %from);
     cx.claims.on_set_back();
     let settled_at = cx.now() + RETURN_GRACE;
-    cx.freshness.borrow_mut().on_set_back(settled_at);
+    cx.freshness.borrow_mut().on_store_reverted(settled_at);
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher.quarantine.on_store_reverted();
     dispatcher.cache.on_store_reverted();
@@ -129,7 +129,7 @@
                 fleet::take_snapshot(cx, *snapshot);
             }
             Ok(OwnEntry::Change(change)) if cx.cfg.own_config => changes.push(*change),
-            Ok(OwnEntry::Held(request)) => {
+            Ok(OwnEntry::Quarantined(request)) => {
                 let now = cx.now();
                 let change = {
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
@@ -137,7 +137,7 @@
                 };
                 endings::log_change(cx, request, change, "entered in the store");
             }
-            Ok(OwnEntry::HeldGone(request)) => {
+            Ok(OwnEntry::QuarantineEnded(request)) => {
                 let change = {
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
                     quarantine.on_removed(request)
@@ -166,7 +166,7 @@
     let is_known = |b: &ServingConfig| (b.version, b.revision.number) == (version, revision.number);
     let is_old = |b: &ServingConfig| version < b.version || is_known(b);
     if !before.as_deref().is_some_and(is_old) {
-        cx.freshness.borrow_mut().on_written_again();
+        cx.freshness.borrow_mut().on_config_rewritten();
     }
     let before = before.map(|b| (b.version.0, b.revision.number));
     let applied = cx.apply(config);
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -34,7 +34,7 @@
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(cx.cfg.callers_rules.limits.header_time)
+            .header_read_timeout(cx.cfg.callers_rules.limits.header_timeout)
             .serve_connection(TokioIo::new(socket), service);
         tokio::task::spawn_local(async move {
             // An operator that leaves asks again.
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -25,7 +25,7 @@
 use crate::{
     claims::{ClaimStep, ClaimVerdict},
     explain::DecisionRecord,
-    store::{Mirrored, StoreError},
+    store::{MirrorReply, StoreError},
     units::StoreRevision,
 };
 
@@ -134,7 +134,7 @@
         &self,
         after: StoreRevision,
         wait: Duration,
-    ) -> Result<(Mirrored, Option<Proof>), StoreError> {
+    ) -> Result<(MirrorReply, Option<Proof>), StoreError> {
         let is_list = after == StoreRevision::default();
         let timeout = wait
             + if is_list {
@@ -172,7 +172,7 @@
             let body = res.into_body().collect().await.map_err(no_answer)?;
             match status {
                 StatusCode::OK => Ok((body.to_bytes(), proof.transpose()?)),
-                status => Err(StoreError::TurnedAway(status.as_u16())),
+                status => Err(StoreError::Rejected(status.as_u16())),
             }
         };
         let answer = tokio::time::timeout(timeout, answer).await;
@@ -220,7 +220,7 @@
 }
 
 fn garbled(e: impl std::fmt::Display) -> StoreError {
-    StoreError::Garbled(e.to_string())
+    StoreError::InvalidResponse(e.to_string())
 }
 
 /// Answers routers that ask.
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -81,8 +81,11 @@
         let now_saved = snapshot(&cx);
         let saved = match postcard::to_stdvec(&now_saved) {
             Ok(bytes) if bytes.len() <= SAVED_LIMIT => cx.store.put(own::PROMPTS_KEY, bytes).await,
-            Ok(bytes) => Err(StoreError::Garbled(format!("{} bytes", bytes.len()))),
-            Err(e) => Err(StoreError::Garbled(e.to_string())),
+            Ok(bytes) => Err(StoreError::InvalidResponse(format!(
+                "{} bytes",
+                bytes.len()
+            ))),
+            Err(e) => Err(StoreError::InvalidResponse(e.to_string())),
         };
         cx.metrics.on_store_call("save");
         if let Err(e) = saved {
@@ -115,7 +118,7 @@
         cx.metrics.on_store_call("announce");
         let key = own::router_key(&cx.cfg.vm);
         let address = cx.cfg.peers.to_string().into_bytes();
-        if let Err(e) = cx.store.keep(&key, address).await {
+        if let Err(e) = cx.store.put_with_lease(&key, address).await {
             info!(cx.log, "not announced"; "why" => %e);
         }
     }
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -194,7 +194,7 @@
         Some(gap) if call.route.kind.is_resumable() && more => {
             gap.mul_f64(GAP_PATIENCE).max(LEAST_PATIENCE)
         }
-        _ => call.route.longest_silence,
+        _ => call.route.max_silence,
     }
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Write};
 
-use crate::{ResultCode, settings::Fault};
+use crate::{ResultCode, settings::InvalidSetting};
 
 /// An error that does not belong to a single request.
 #[derive(Debug, thiserror::Error)]
@@ -10,7 +10,7 @@
 pub enum Error {
     /// Settings are missing or invalid; lists all of them.
     #[error("{} missing or invalid settings", .0.len())]
-    Settings(Vec<Fault>),
+    Settings(Vec<InvalidSetting>),
     /// Listening on an address failed.
     #[error("cannot listen on {address}: {source}")]
     Listen {
@@ -67,7 +67,7 @@
     }
 
     /// Writes the error in readable form, with one line for each invalid setting.
-    pub fn print(&self, out: &mut impl Write) -> io::Result<()> {
+    pub fn write_to(&self, out: &mut impl Write) -> io::Result<()> {
         match self {
             Self::Settings(faults) => faults.iter().try_for_each(|f| writeln!(out, "{f}")),
             other => writeln!(out, "error {}: {other}", other.code()),
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Maximum length of a name, in bytes.
-pub const MAX_NAME: usize = 96;
+pub const MAX_NAME_BYTES: usize = 96;
 
 /// A text that could not be parsed as an identifier or a value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -14,7 +14,7 @@
 pub struct IdError {
     /// Description of a valid text.
     pub expected: &'static str,
-    /// The invalid text. `IdError::new` truncates it to `MAX_NAME` characters.
+    /// The invalid text. `IdError::new` truncates it to `MAX_NAME_BYTES` characters.
     pub got: String,
 }
 
@@ -22,7 +22,7 @@
     pub(crate) fn new(expected: &'static str, got: &str) -> Self {
         Self {
             expected,
-            got: got.chars().take(MAX_NAME).collect(),
+            got: got.chars().take(MAX_NAME_BYTES).collect(),
         }
     }
 }
@@ -123,13 +123,13 @@
 pub struct TargetId(std::sync::Arc<str>);
 
 /// Separates a target's name and its start time; names can't contain it.
-const BIRTH_MARK: char = '~';
+const START_SEPARATOR: char = '~';
 
 impl TargetId {
     /// Creates the id of a target that started at `started_at`; `None` if the target does not report it.
     pub fn new(name: &TargetName, started_at: Option<UnixMillis>) -> Self {
         match started_at {
-            Some(started_at) => Self(format!("{name}{BIRTH_MARK}{started_at}").into()),
+            Some(started_at) => Self(format!("{name}{START_SEPARATOR}{started_at}").into()),
             None => Self(name.as_str().into()),
         }
     }
@@ -141,7 +141,7 @@
 
     /// Returns the target's name, which stays the same after a restart.
     pub fn name(&self) -> &str {
-        let split = self.0.split_once(BIRTH_MARK);
+        let split = self.0.split_once(START_SEPARATOR);
         split.map_or(&self.0, |(name, _start)| name)
     }
 
@@ -161,7 +161,7 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<Self, IdError> {
-        let (name, started_at) = match s.split_once(BIRTH_MARK) {
+        let (name, started_at) = match s.split_once(START_SEPARATOR) {
             Some((name, start)) => (name, Some(start.parse()?)),
             None => (s, None),
         };
@@ -238,7 +238,7 @@
 impl ServiceName {
     /// Returns the name of a pool of targets. The kind distinguishes a model from a plain service of
     /// the same name.
-    pub(crate) fn of_pool(kind: &str, name: &str) -> Self {
+    pub(crate) fn pool_name(kind: &str, name: &str) -> Self {
         Self(format!("{kind}:{name}").into())
     }
 }
@@ -302,7 +302,7 @@
 }
 
 fn is_name(s: &str) -> bool {
-    let has_valid_length = (1..=MAX_NAME).contains(&s.len());
+    let has_valid_length = (1..=MAX_NAME_BYTES).contains(&s.len());
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-' | b':');
     has_valid_length && s.bytes().all(is_allowed)
 }
--- a/src/intent.rs
+++ b/src/intent.rs
@@ -9,7 +9,7 @@
 };
 
 /// Maximum number of edits in one intent.
-pub const EDIT_LIMIT: usize = 2_000;
+pub const MAX_EDITS: usize = 2_000;
 
 /// A change of the configuration that an operator requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -70,10 +70,10 @@
     let bad = |e: serde_json::Error| IntentError::new(ResultCode::BadIntent, e.to_string());
     let intent: Intent = serde_json::from_slice(text).map_err(bad)?;
     match intent.edits.len() {
-        1..=EDIT_LIMIT => Ok(intent),
+        1..=MAX_EDITS => Ok(intent),
         n => Err(IntentError::new(
             ResultCode::BadIntent,
-            format!("edits: got {n}, expected 1 to {EDIT_LIMIT}"),
+            format!("edits: got {n}, expected 1 to {MAX_EDITS}"),
         )),
     }
 }
@@ -87,7 +87,7 @@
 ) -> Result<Plan, IntentError> {
     let after = apply(log.config(), &intent.edits)?;
     let mut plan = Plan {
-        id: "unset".parse().map_err(|_| internal())?,
+        id: "unset".parse().map_err(|_| id_error())?,
         base: log.revision(),
         base_digest: log.digest(),
         author: author.to_owned(),
@@ -100,7 +100,7 @@
         warnings: warnings(log.config(), &after),
         edits: intent.edits,
     };
-    plan.id = id_of(&plan, nonce)?;
+    plan.id = change_id(&plan, nonce)?;
     Ok(plan)
 }
 
@@ -111,7 +111,7 @@
     let newer_changes = match log.update_since(plan.base, plan.base_digest) {
         Update::Current => Vec::new(),
         Update::Changes(changes) => changes,
-        Update::Whole(_) => {
+        Update::Snapshot(_) => {
             let detail = "the plan is based on a configuration that is too old";
             return Err(IntentError::new(ResultCode::PlanOutdated, detail));
         }
@@ -145,22 +145,22 @@
 fn apply(config: &FleetConfig, edits: &[Edit]) -> Result<FleetConfig, IntentError> {
     let mut after = config.clone();
     edits.iter().for_each(|e| after.apply(e));
-    let faults = after.faults();
+    let faults = after.validation_errors();
     match faults.is_empty() {
         true => Ok(after),
         false => Err(IntentError::new(ResultCode::BadIntent, faults.join("; "))),
     }
 }
 
-fn id_of(plan: &Plan, nonce: u64) -> Result<ChangeId, IntentError> {
+fn change_id(plan: &Plan, nonce: u64) -> Result<ChangeId, IntentError> {
     let mut h = blake3::Hasher::new();
     h.update(&nonce.to_le_bytes());
-    h.update(&serde_json::to_vec(plan).map_err(|_| internal())?);
+    h.update(&serde_json::to_vec(plan).map_err(|_| id_error())?);
     let id = format!("chg-{}", &h.finalize().to_hex()[..16]);
-    id.parse().map_err(|_| internal())
+    id.parse().map_err(|_| id_error())
 }
 
-fn internal() -> IntentError {
+fn id_error() -> IntentError {
     IntentError::new(ResultCode::Internal, "cannot generate a change id")
 }
 
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -20,7 +20,7 @@
     records::Comparing,
 };
 use crate::{
-    config::freshness::Vouch,
+    config::freshness::PeerConfirmation,
     ids::{DataHall, Incarnation, VmId},
     load_account::PEER_TTL,
     placement::{owner, owners},
@@ -155,10 +155,10 @@
 
     /// Returns the confirmation of the configuration in a datagram, if it answers one of this
     /// incarnation.
-    pub fn vouch(&self, datagram: &Datagram) -> Option<Vouch> {
+    pub fn vouch(&self, datagram: &Datagram) -> Option<PeerConfirmation> {
         let echo = datagram.echo.filter(|stamp| stamp.life == self.life)?;
         let (version, age_ms) = datagram.config?;
-        Some(Vouch {
+        Some(PeerConfirmation {
             echo: Instant(Duration::from_micros(echo.micros)),
             age: Duration::from_millis(u64::from(age_ms)),
             version,
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -16,7 +16,7 @@
     ResultCode,
     config::{
         routes::{SERVICE_PREFIX, chat_path},
-        serving::Asked,
+        serving::RoutingKey,
     },
     dialect::{AnswerFacts, CallFacts, Dialect, Handover, Page, Refusal, Refused},
     ids::{AttemptId, ConversationKey, ModelName, RequestId},
@@ -109,7 +109,7 @@
     ) -> Result<CallFacts, Refusal> {
         let path = head.uri.path();
         let facts = CallFacts {
-            asked: Asked {
+            asked: RoutingKey {
                 host: String::new(),
                 method: head.method.clone(),
                 path: path.to_owned(),
@@ -148,7 +148,7 @@
             set(headers, ATTEMPT, &attempt.to_string());
         }
         if let Some(rank) = handover.rank {
-            set(headers, PRIORITY, &Priority::of_rank(rank).to_string());
+            set(headers, PRIORITY, &Priority::from_rank(rank).to_string());
         }
     }
 
@@ -205,7 +205,7 @@
     let named = chat.prompt_cache_key.as_deref();
     let named = named.or_else(|| text(headers, &CHAT));
     Ok(CallFacts {
-        asked: Asked {
+        asked: RoutingKey {
             path: chat_path(&model, chat.stream),
             ..facts.asked
         },
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -400,7 +400,7 @@
     } else {
         REMOTE_HALL_CALLS
     };
-    let unread = option.missing.less(option.fetchable);
+    let unread = option.missing.saturating_sub(option.fetchable);
     let turns = if request.is_chat {
         CHAT_TOKEN_FACTOR
     } else {
--- a/src/prompt_cache.rs
+++ b/src/prompt_cache.rs
@@ -231,7 +231,7 @@
             let Some((part, held)) = self.parts.pop_lru() else {
                 break;
             };
-            self.tokens = self.tokens.less(held.tokens);
+            self.tokens = self.tokens.saturating_sub(held.tokens);
             dropped.push(part);
         }
         dropped
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -19,7 +19,7 @@
 
 /// An invalid or missing setting, with the details needed to correct it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct InvalidSetting {
     /// Flag and environment variable of the setting.
     pub setting: String,
     /// Quoted value that was given, with secrets masked; `None` if none was given.
@@ -28,7 +28,7 @@
     pub expected: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for InvalidSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             setting, expected, ..
@@ -136,11 +136,11 @@
 
 /// Number of decisions that a router keeps for `explain`: those of several thousand requests, a few
 /// megabytes.
-const EXPLAIN_KEPT: usize = 16_384;
+const MAX_EXPLAINED_DECISIONS: usize = 16_384;
 
 /// The fleet's retry budget, as on the users' sites: a fifth of the requests of the last ten seconds, plus
 /// a constant.
-const BUDGET: BudgetRule = BudgetRule {
+const RETRY_BUDGET: BudgetRule = BudgetRule {
     ratio: 0.2,
     window: Duration::from_secs(10),
     extra: 50.0,
@@ -148,7 +148,7 @@
 
 /// Assumed link in Mbit/s and share of a CPU core of each VM. All routers of a fleet use the same values, so
 /// that all count as equally strong.
-const STRENGTH: (f64, f64) = (1_000.0, 1.0);
+const VM_LINK_MBPS_AND_CPU_SHARE: (f64, f64) = (1_000.0, 1.0);
 
 impl Settings {
     /// Returns the configuration of a gateway that serves the product's own operator interface.
@@ -158,7 +158,7 @@
             vm: self.vm.clone(),
             region: Some(self.region.clone()),
             data_hall: self.data_hall.clone(),
-            strength: Strength::new(STRENGTH.0, STRENGTH.1),
+            strength: Strength::new(VM_LINK_MBPS_AND_CPU_SHARE.0, VM_LINK_MBPS_AND_CPU_SHARE.1),
             callers: self.listen,
             ready: None,
             metrics: self.metrics_listen.0.first().copied(),
@@ -172,13 +172,13 @@
             callers_rules: CallerRules {
                 limits: self.caller_limits(),
                 chat_timeout: self.request_timeout_ms.duration(),
-                longest_silence: self.idle_timeout_ms.duration(),
+                max_silence: self.idle_timeout_ms.duration(),
             },
-            explain_kept: EXPLAIN_KEPT,
+            explain_kept: MAX_EXPLAINED_DECISIONS,
             rules: Rules {
                 revoke_bound: self.revoke_bound.0.map(Millis::duration),
                 cap_factor: self.load_bound.factor(),
-                budget: BUDGET,
+                budget: RETRY_BUDGET,
                 cold: ColdRule::default(),
                 serve_on: self.drain_wait_ms.duration(),
                 stop_time: drain,
@@ -190,9 +190,9 @@
         CallerLimits {
             header_bytes: self.header_limit.0,
             body_bytes: self.body_limit.0,
-            header_time: self.header_timeout_ms.duration(),
-            body_time: self.body_timeout_ms.duration(),
-            idle_time: self.idle_timeout_ms.duration(),
+            header_timeout: self.header_timeout_ms.duration(),
+            body_timeout: self.body_timeout_ms.duration(),
+            idle_timeout: self.idle_timeout_ms.duration(),
         }
     }
 }
@@ -216,7 +216,7 @@
             ("operator_listen", self.operator_listen),
         ];
         let is_exposed = |a: &SocketAddr| !a.ip().is_loopback() && !self.allow_plain;
-        let mut faults: Vec<Fault> = listens
+        let mut faults: Vec<InvalidSetting> = listens
             .iter()
             .filter(|(_, a)| is_exposed(a))
             .map(|(name, a)| fault(name, Some(a.to_string()), "loopback, or --allow-plain true"))
@@ -232,8 +232,8 @@
     }
 }
 
-fn fault(name: &str, seen: Option<String>, expected: &str) -> Fault {
-    Fault {
+fn fault(name: &str, seen: Option<String>, expected: &str) -> InvalidSetting {
+    InvalidSetting {
         setting: format!("{} ({})", flag_name(name), variable_name(name)),
         seen: seen.map(|s| format!("{s:?}")),
         expected: expected.to_owned(),
@@ -246,7 +246,7 @@
     default: Option<&str>,
     secret: bool,
     expected: &str,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<InvalidSetting>,
 ) -> Option<T> {
     let given = source.value(name);
     let text = given.as_deref().or(default);
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -123,7 +123,7 @@
 
 /// Minimum revocation bound in milliseconds: the last confirmation of the configuration is up to 0.6 s old
 /// even without any failure.
-const SHORTEST_REVOKE_MS: u64 = 1_000;
+const MIN_REVOKE_BOUND_MS: u64 = 1_000;
 
 impl FromStr for RevokeBound {
     type Err = String;
@@ -132,7 +132,7 @@
         match s {
             "none" => Ok(Self(None)),
             ms => match ms.parse() {
-                Ok(ms @ Millis(SHORTEST_REVOKE_MS..)) => Ok(Self(Some(ms))),
+                Ok(ms @ Millis(MIN_REVOKE_BOUND_MS..)) => Ok(Self(Some(ms))),
                 _ => Err("expected none, or milliseconds from 1000".to_owned()),
             },
         }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -4,16 +4,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{StoreItem, StoreNews, own::PROMPTS_KEY};
+use super::{StoreItem, StoreUpdate, own::PROMPTS_KEY};
 use crate::units::StoreRevision;
 
 /// Number of removed keys that a mirror keeps for peers that lag behind, in addition to the largest number of
 /// entries that it has held, because all entries may expire and be listed again at once. A peer that lags
 /// behind the oldest kept removal receives the complete list.
-const REMOVED_KEPT: usize = 1_024;
+const EXTRA_REMOVED_KEYS: usize = 1_024;
 
 /// Maximum number of gaps between successive lists that a mirror keeps.
-const GAPS_KEPT: usize = 16;
+const MAX_GAPS: usize = 16;
 
 /// The store's entries at one revision, and the keys that were removed before.
 #[derive(Debug, Default)]
@@ -22,12 +22,12 @@
     removed: BTreeMap<String, StoreRevision>,
     /// All removals after this revision are known, except within gaps; some up to it may have been
     /// dropped.
-    oldest: StoreRevision,
+    removals_complete_after: StoreRevision,
     /// Ranges between successive lists, within which entries may have been written and removed unseen.
     gaps: Vec<Gap>,
     revision: StoreRevision,
     /// Largest number of entries that it has held at once.
-    most: usize,
+    peak_items: usize,
 }
 
 /// A range of revisions of which only the state at the end is known.
@@ -39,7 +39,7 @@
 
 impl Gap {
     /// Returns whether a peer at `revision` may hold an entry that the mirror never saw.
-    fn is_around(&self, revision: StoreRevision) -> bool {
+    fn contains(&self, revision: StoreRevision) -> bool {
         self.from < revision && revision < self.to
     }
 }
@@ -58,7 +58,7 @@
     }
 
     /// Replaces all entries by a complete list. A list that is older than the mirror is ignored.
-    pub fn on_list(&mut self, news: &StoreNews) {
+    pub fn on_list(&mut self, news: &StoreUpdate) {
         if news.revision < self.revision {
             return;
         }
@@ -70,8 +70,8 @@
         let before = std::mem::take(&mut self.items);
         self.items = news.items.iter().map(by_key).collect();
         match before.is_empty() {
-            true => self.oldest = news.revision,
-            false => self.note_gap(news.revision),
+            true => self.removals_complete_after = news.revision,
+            false => self.record_gap(news.revision),
         }
         for key in before.into_keys() {
             if !self.items.contains_key(&key) {
@@ -86,21 +86,21 @@
     /// Removes everything, after the store was rolled back to an older state.
     pub fn clear(&mut self) {
         *self = Self {
-            most: self.most,
+            peak_items: self.peak_items,
             ..Self::default()
         };
     }
 
     /// Returns all entries.
-    pub fn list(&self) -> StoreNews {
-        StoreNews {
+    pub fn list(&self) -> StoreUpdate {
+        StoreUpdate {
             items: self.items.values().cloned().collect(),
             revision: self.revision,
         }
     }
 
     /// Applies changes that follow the mirror's revision.
-    pub fn on_changes(&mut self, news: &StoreNews) {
+    pub fn on_changes(&mut self, news: &StoreUpdate) {
         for item in &news.items {
             let before = self.items.get(&item.key).map(|b| b.revision);
             let before = before.max(self.removed.get(&item.key).copied());
@@ -123,27 +123,27 @@
     }
 
     /// Returns what a peer at a revision is missing, or `None` if the mirror has no newer revision.
-    pub fn since(&self, after: StoreRevision) -> Option<Mirrored> {
+    pub fn since(&self, after: StoreRevision) -> Option<MirrorReply> {
         let revision = self.revision;
         match after {
             after if after >= revision => None,
-            after if after.era == revision.era && self.knows_removals(after) => {
-                Some(Mirrored::Changes(StoreNews {
-                    items: self.newer(after),
+            after if after.era == revision.era && self.has_removals_since(after) => {
+                Some(MirrorReply::Changes(StoreUpdate {
+                    items: self.changes_after(after),
                     revision,
                 }))
             }
-            _ => Some(Mirrored::List(self.list())),
+            _ => Some(MirrorReply::List(self.list())),
         }
     }
 
     /// Returns whether all removals since a revision are known.
-    fn knows_removals(&self, after: StoreRevision) -> bool {
-        after >= self.oldest && !self.gaps.iter().any(|gap| gap.is_around(after))
+    fn has_removals_since(&self, after: StoreRevision) -> bool {
+        after >= self.removals_complete_after && !self.gaps.iter().any(|gap| gap.contains(after))
     }
 
     /// Returns the last change of each key since a revision, in order of revisions.
-    fn newer(&self, after: StoreRevision) -> Vec<StoreItem> {
+    fn changes_after(&self, after: StoreRevision) -> Vec<StoreItem> {
         // Only starting routers need the saved prompts; running ones receive each prompt by datagram.
         let is_newer = |item: &&StoreItem| item.revision > after && item.key != PROMPTS_KEY;
         let put = self.items.values().filter(is_newer).cloned();
@@ -158,19 +158,19 @@
         items
     }
 
-    fn note_gap(&mut self, to: StoreRevision) {
+    fn record_gap(&mut self, to: StoreRevision) {
         let from = self.revision;
         if from < to {
             self.gaps.push(Gap { from, to });
         }
-        while self.gaps.len() > GAPS_KEPT {
-            self.oldest = self.oldest.max(self.gaps.remove(0).to);
+        while self.gaps.len() > MAX_GAPS {
+            self.removals_complete_after = self.removals_complete_after.max(self.gaps.remove(0).to);
         }
     }
 
     fn trim(&mut self) {
-        self.most = self.most.max(self.items.len());
-        let limit = REMOVED_KEPT + self.most;
+        self.peak_items = self.peak_items.max(self.items.len());
+        let limit = EXTRA_REMOVED_KEYS + self.peak_items;
         let excess = self.removed.len().saturating_sub(limit);
         if excess == 0 {
             return;
@@ -179,17 +179,17 @@
         let (_, newest_dropped, _) = revisions.select_nth_unstable(excess - 1);
         let dropped = *newest_dropped;
         self.removed.retain(|_, at| *at > dropped);
-        self.oldest = self.oldest.max(dropped);
+        self.removals_complete_after = self.removals_complete_after.max(dropped);
     }
 }
 
 /// A router's response to a peer that asks for the store's changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Mirrored {
+pub enum MirrorReply {
     /// The changes since the peer's revision.
-    Changes(StoreNews),
+    Changes(StoreUpdate),
     /// All entries, because the changes since the peer's revision are no longer known.
-    List(StoreNews),
+    List(StoreUpdate),
     /// No newer revision.
     Nothing,
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use mirror::{Mirrored, StoreMirror};
+pub use mirror::{MirrorReply, StoreMirror};
 
 use crate::{
     config::serving::ServingConfig,
@@ -24,16 +24,16 @@
     NoAnswer(String),
     /// The store rejected the call, which had no effect.
     #[error("rejected with status {0}")]
-    TurnedAway(u16),
+    Rejected(u16),
     /// The revision after which changes were requested is no longer in the store's history.
     #[error("the requested revision is no longer in the store's history")]
     HistoryGone,
     /// The store was rolled back to an older copy between the read that the call builds on and the response.
     #[error("the store was rolled back during the call")]
-    SetBack,
+    Reverted,
     /// The response could not be decoded.
     #[error("invalid response: {0}")]
-    Garbled(String),
+    InvalidResponse(String),
 }
 
 /// One entry of the store as it was written, or its removal. Only the adapter interprets the value.
@@ -61,20 +61,23 @@
 }
 
 /// Minimum size of a compressed value, in bytes.
-const PACKED_FROM: usize = 512;
+const MIN_BYTES_TO_COMPRESS: usize = 512;
 
 /// Compression level from 0 to 10. Level 4 reduces a value to a tenth of its size within a few milliseconds.
-const PACK_LEVEL: u8 = 4;
+const COMPRESSION_LEVEL: u8 = 4;
 
 /// Maximum size of a decompressed value, in bytes. The store's values have at most 1 MB.
-const UNPACK_LIMIT: usize = 16 << 20;
+const MAX_UNPACKED_BYTES: usize = 16 << 20;
 
 impl PackedValue {
     /// Compresses a value if it is large.
     pub fn pack(value: &[u8]) -> Self {
-        match value.len() < PACKED_FROM {
+        match value.len() < MIN_BYTES_TO_COMPRESS {
             true => Self::Plain(value.to_vec()),
-            false => Self::Packed(miniz_oxide::deflate::compress_to_vec(value, PACK_LEVEL)),
+            false => Self::Packed(miniz_oxide::deflate::compress_to_vec(
+                value,
+                COMPRESSION_LEVEL,
+            )),
         }
     }
 
@@ -93,7 +96,8 @@
             }
             Self::Packed(packed) => packed,
         };
-        let unpacked = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, UNPACK_LIMIT);
+        let unpacked =
+            miniz_oxide::inflate::decompress_to_vec_with_limit(packed, MAX_UNPACKED_BYTES);
         let unpacked = unpacked.map_err(|e| format!("value could not be decompressed: {e}"))?;
         Ok(Cow::Owned(unpacked))
     }
@@ -114,7 +118,7 @@
     /// A target wrote its entry.
     Target(TargetRecord),
     /// A target's entry was removed.
-    TargetGone(TargetName),
+    TargetRemoved(TargetName),
     /// A target's entry was written that does not describe a usable target.
     TargetUnusable {
         /// Name of the target.
@@ -125,14 +129,14 @@
     /// A data hall is evacuated: its targets receive no requests.
     HallEvacuated(DataHall),
     /// A data hall is no longer evacuated.
-    HallTakenBack(DataHall),
+    HallEvacuationEnded(DataHall),
     /// An entry without effect on the gateway.
     Other,
 }
 
 /// All entries of the store, or its changes since a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreUpdate {
     /// The entries, in the order of the list or of the changes.
     pub items: Vec<StoreItem>,
     /// Revision of the store after these entries.
@@ -155,7 +159,7 @@
 
 /// Result of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Swap {
+pub enum SwapResult {
     /// The write took effect at this revision.
     Done(StoreRevision),
     /// The key's revision was not the expected one; nothing was written.
@@ -168,9 +172,9 @@
 /// that can safely be repeated.
 pub trait MetaStore {
     /// Returns all entries that the gateway uses, by consistent reads.
-    fn list(&self) -> StoreCall<'_, StoreNews>;
+    fn list(&self) -> StoreCall<'_, StoreUpdate>;
     /// Waits at most `wait` for changes after a revision; returns no entries if there are none.
-    fn watch(&self, after: StoreRevision, wait: Duration) -> StoreCall<'_, StoreNews>;
+    fn watch(&self, after: StoreRevision, wait: Duration) -> StoreCall<'_, StoreUpdate>;
     /// Decodes an entry that the platform's other components wrote; the error says what is wrong with it.
     fn decode(&self, item: &StoreItem) -> Result<StoreChange, String>;
     /// Returns the value of a key, by a consistent read.
@@ -183,14 +187,14 @@
         key: &str,
         expected: Option<StoreRevision>,
         value: Vec<u8>,
-    ) -> StoreCall<'_, Swap>;
+    ) -> StoreCall<'_, SwapResult>;
     /// Writes a key unconditionally.
     fn put(&self, key: &str, value: Vec<u8>) -> StoreCall<'_, ()>;
     /// Writes a key unconditionally and lets it expire after `lasts`. A repeated call restarts the time.
-    fn put_for(&self, key: &str, value: Vec<u8>, lasts: Duration) -> StoreCall<'_, ()>;
+    fn put_with_ttl(&self, key: &str, value: Vec<u8>, lasts: Duration) -> StoreCall<'_, ()>;
     /// Writes a key under a lease of this router, or renews the lease. The key expires some time after the
     /// router stops.
-    fn keep(&self, key: &str, value: Vec<u8>) -> StoreCall<'_, ()>;
+    fn put_with_lease(&self, key: &str, value: Vec<u8>) -> StoreCall<'_, ()>;
     /// Removes a key.
     fn remove(&self, key: &str) -> StoreCall<'_, ()>;
 }
--- a/src/store/own.rs
+++ b/src/store/own.rs
@@ -15,7 +15,7 @@
 pub const OWN_PREFIX: &str = "scaleford/";
 
 /// Prefix of the keys under which routers publish their peer addresses.
-const ROUTERS: &str = "scaleford/routers/";
+const ROUTER_PREFIX: &str = "scaleford/routers/";
 
 /// Key of the saved map from cached prompts to targets.
 pub(crate) const PROMPTS_KEY: &str = "scaleford/prompts";
@@ -27,7 +27,7 @@
 pub const CHANGE_PREFIX: &str = "scaleford/config/change/";
 
 /// Prefix of the keys of quarantined requests.
-const HELD: &str = "scaleford/held/";
+const QUARANTINE_PREFIX: &str = "scaleford/held/";
 
 /// A decoded entry that a router wrote.
 #[derive(Debug)]
@@ -41,21 +41,21 @@
     /// An accepted change.
     Change(Box<Change>),
     /// A request that all routers quarantine.
-    Held(Fingerprint),
+    Quarantined(Fingerprint),
     /// A request that is no longer quarantined.
-    HeldGone(Fingerprint),
+    QuarantineEnded(Fingerprint),
     /// An entry that was removed, or of a kind that a later version writes.
     Other,
 }
 
 /// Returns the key under which a router publishes its peer address.
 pub(crate) fn router_key(vm: &VmId) -> String {
-    format!("{ROUTERS}{vm}")
+    format!("{ROUTER_PREFIX}{vm}")
 }
 
 /// Returns the key under which a request is quarantined.
-pub(crate) fn held_key(request: Fingerprint) -> String {
-    format!("{HELD}{request}")
+pub(crate) fn quarantine_key(request: Fingerprint) -> String {
+    format!("{QUARANTINE_PREFIX}{request}")
 }
 
 /// Returns the key of a change. The keys sort in the order of the changes.
@@ -64,7 +64,7 @@
 }
 
 /// Returns the revision of a change from its key, or `None` for other keys.
-pub(crate) fn change_of(key: &str) -> Option<Revision> {
+pub(crate) fn change_revision(key: &str) -> Option<Revision> {
     key.strip_prefix(CHANGE_PREFIX)?.parse().ok()
 }
 
@@ -77,18 +77,18 @@
 
 fn decode_value(name: &str, item: &StoreItem) -> Result<OwnEntry, String> {
     let key = item.key.as_str();
-    if let Some(request) = key.strip_prefix(HELD) {
+    if let Some(request) = key.strip_prefix(QUARANTINE_PREFIX) {
         let request = request.parse().map_err(|e| format!("{name}: {e}"))?;
         return Ok(match item.value {
-            Some(_) => OwnEntry::Held(request),
-            None => OwnEntry::HeldGone(request),
+            Some(_) => OwnEntry::Quarantined(request),
+            None => OwnEntry::QuarantineEnded(request),
         });
     }
     let Some(packed) = &item.value else {
         return Ok(OwnEntry::Other);
     };
     match () {
-        () if key.starts_with(ROUTERS) => {
+        () if key.starts_with(ROUTER_PREFIX) => {
             let text = String::from_utf8_lossy(&packed.unpack()?).into_owned();
             let address = text.parse().map_err(|e| format!("router {text}: {e}"))?;
             Ok(OwnEntry::Router(address))
--- a/src/target_counts.rs
+++ b/src/target_counts.rs
@@ -111,7 +111,7 @@
 
     pub(crate) fn subtract(&mut self, other: Self) {
         self.calls = self.calls.saturating_sub(other.calls);
-        self.tokens = self.tokens.less(other.tokens);
+        self.tokens = self.tokens.saturating_sub(other.tokens);
     }
 }
 
--- a/src/units.rs
+++ b/src/units.rs
@@ -51,7 +51,7 @@
 
 impl Tokens {
     /// Subtracts `other`, saturating at zero.
-    pub fn less(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 }
@@ -159,7 +159,7 @@
 
 impl Weight {
     /// Default weight of a target.
-    pub const USUAL: Self = Self(100);
+    pub const DEFAULT: Self = Self(100);
 
     /// Returns the weight as a number.
     pub fn get(self) -> u32 {
@@ -169,7 +169,7 @@
 
 impl Default for Weight {
     fn default() -> Self {
-        Self::USUAL
+        Self::DEFAULT
     }
 }
 
@@ -283,7 +283,7 @@
     }
 
     /// Returns the priority of a rank. Unknown ranks map to the least urgent priority.
-    pub fn of_rank(rank: Rank) -> Self {
+    pub fn from_rank(rank: Rank) -> Self {
         match rank.0 {
             0 => Self::Urgent,
             1 => Self::Live,
--- a/tests/decisions/changes.rs
+++ b/tests/decisions/changes.rs
@@ -34,7 +34,7 @@
         match truth.update_since(log.revision(), log.digest()) {
             Update::Changes(missing) => missing.iter().for_each(|c| { log.on_change((**c).clone()); }),
             Update::Current => {}
-            Update::Whole(_) => prop_assert!(false, "the ring holds all"),
+            Update::Snapshot(_) => prop_assert!(false, "the ring holds all"),
         }
         prop_assert_eq!(log.digest(), truth.digest());
     }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -91,8 +91,8 @@
         engine: Some(EngineSpec {
             slots: 64,
             memory_tokens: 400_000,
-            moves: true,
-            usual_answer: None,
+            can_fetch_prompts: true,
+            expected_response: None,
         }),
         goal: Duration::from_secs(1),
         surge: Surge::None,
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use scaleford::config::{
     KeyHash,
-    serving::{Asked, CallKind, CallerLimits, Denied, KeyHolder, Route, ServingConfig},
+    serving::{CallKind, CallerLimits, Denied, KeyOwner, Route, RoutingKey, ServingConfig},
 };
 use scaleford::units::{ConfigVersion, Rank, StoreRevision};
 
@@ -35,20 +35,20 @@
         ConfigVersion(1),
         CallerLimits::default(),
     );
-    config.keyed = true;
+    config.requires_keys = true;
     config.add_route(route("a.example", "/x/", &[("one", 1)]));
     config.add_route(route("a.example", "/x/y/", &[("two", 1)]));
-    let holder = KeyHolder {
+    let holder = KeyOwner {
         account: "farm".parse().unwrap(),
         rank: None,
         limits: None,
     };
     config.add_key(KeyHash::of("secret"), holder.clone());
     let found = |path: &str, key| {
-        let asked = Asked {
+        let asked = RoutingKey {
             host: "A.example:80".to_owned(),
             path: path.to_owned(),
-            ..Asked::default()
+            ..RoutingKey::default()
         };
         config
             .admit(&asked, key)
@@ -78,7 +78,7 @@
         config::{
             ClientAccount, FleetConfig, KeyHash, Model, RouteRule, Service,
             routes::{CallerRules, serving},
-            serving::{Asked, CallKind, CallerLimits, Denied, ServingConfig, StreamRepeats},
+            serving::{CallKind, CallerLimits, Denied, RoutingKey, ServingConfig, StreamRepeats},
         },
         dialect::{CallFacts, Dialect},
         ids::Revision,
@@ -111,7 +111,7 @@
         let rules = CallerRules {
             limits: CallerLimits::default(),
             chat_timeout: Duration::from_secs(300),
-            longest_silence: Duration::from_secs(60),
+            max_silence: Duration::from_secs(60),
         };
         serving(&fleet, Revision(4), &rules)
     }
@@ -192,9 +192,9 @@
             "/model desk whole",
             "model%20desk%20whole",
         ] {
-            let asked = Asked {
+            let asked = RoutingKey {
                 path: path.to_owned(),
-                ..Asked::default()
+                ..RoutingKey::default()
             };
             let is_model = config().route(&asked).is_some();
             // The first is what chats are looked up by; no request line can hold it.
--- a/tests/decisions/set_back.rs
+++ b/tests/decisions/set_back.rs
@@ -7,7 +7,7 @@
 use scaleford::{
     discovery::{Discovery, ListChange, RETURN_GRACE, TargetRecord, TargetState},
     ids::{ServiceName, TargetId, TargetName, UnixMillis},
-    store::{Mirrored, PackedValue, StoreItem, StoreMirror, StoreNews},
+    store::{MirrorReply, PackedValue, StoreItem, StoreMirror, StoreUpdate},
     units::{Instant, StoreEra, StoreRevision},
 };
 
@@ -173,8 +173,8 @@
         }
     }
 
-    fn list(&self) -> StoreNews {
-        StoreNews {
+    fn list(&self) -> StoreUpdate {
+        StoreUpdate {
             items: self.items.values().cloned().collect(),
             revision: self.revision,
         }
@@ -187,7 +187,7 @@
         match goes_on {
             true => {
                 let newer = self.changes.iter().filter(|c| c.revision > seen);
-                reader.on_changes(&StoreNews {
+                reader.on_changes(&StoreUpdate {
                     items: newer.cloned().collect(),
                     revision: self.revision,
                 });
@@ -199,9 +199,9 @@
 
 fn ask(asked: &StoreMirror, router: &mut StoreMirror) {
     match asked.since(router.revision()) {
-        Some(Mirrored::Changes(news)) => router.on_changes(&news),
-        Some(Mirrored::List(news)) => router.on_list(&news),
-        Some(Mirrored::Nothing) | None => {}
+        Some(MirrorReply::Changes(news)) => router.on_changes(&news),
+        Some(MirrorReply::List(news)) => router.on_list(&news),
+        Some(MirrorReply::Nothing) | None => {}
     }
 }
 
--- a/tests/decisions/trust.rs
+++ b/tests/decisions/trust.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use scaleford::{
-    config::freshness::{Freshness, Vouch},
-    store::{Mirrored, PackedValue, StoreItem, StoreMirror, StoreNews},
+    config::freshness::{Freshness, PeerConfirmation},
+    store::{MirrorReply, PackedValue, StoreItem, StoreMirror, StoreUpdate},
     units::{ConfigVersion, StoreRevision},
 };
 
@@ -30,23 +30,23 @@
 fn a_peer_vouches_only_for_what_it_knows_and_only_since_it_was_asked() {
     let mut fresh = Freshness::default();
     fresh.on_applied(ConfigVersion(7));
-    let vouch = |echo, age, version| Vouch {
+    let vouch = |echo, age, version| PeerConfirmation {
         echo: at(echo),
         age: Duration::from_millis(age),
         version: ConfigVersion(version),
     };
-    fresh.on_vouch(vouch(5_000, 100, 8));
+    fresh.on_peer_confirmation(vouch(5_000, 100, 8));
     assert_eq!(fresh.age(at(5_000)), None, "it knows a later revision");
-    fresh.on_vouch(vouch(5_000, 400, 7));
+    fresh.on_peer_confirmation(vouch(5_000, 400, 7));
     assert_eq!(fresh.age(at(6_000)), Some(Duration::from_millis(1_400)));
-    fresh.on_vouch(vouch(5_000, 2_000, 7));
+    fresh.on_peer_confirmation(vouch(5_000, 2_000, 7));
     assert_eq!(
         fresh.age(at(6_000)),
         Some(Duration::from_millis(1_400)),
         "an older proof"
     );
     fresh.on_applied(ConfigVersion(9));
-    fresh.on_vouch(vouch(6_000, 0, 8));
+    fresh.on_peer_confirmation(vouch(6_000, 0, 8));
     assert_eq!(
         fresh.age(at(6_000)),
         Some(Duration::ZERO),
@@ -62,7 +62,7 @@
 fn a_proof_from_before_this_routers_start_is_as_old_as_it_is() {
     let mut fresh = Freshness::default();
     fresh.on_applied(ConfigVersion(7));
-    fresh.on_vouch(Vouch {
+    fresh.on_peer_confirmation(PeerConfirmation {
         echo: at(50),
         age: Duration::from_millis(4_800),
         version: ConfigVersion(7),
@@ -84,7 +84,7 @@
 ) {
     let mut fresh = Freshness::default();
     fresh.on_applied(ConfigVersion(7));
-    fresh.on_vouch(Vouch {
+    fresh.on_peer_confirmation(PeerConfirmation {
         echo: at(0),
         age: Duration::from_secs(9),
         version: ConfigVersion(at_a_peer),
@@ -100,13 +100,13 @@
     let stored = Some(ConfigVersion(7));
     fresh.on_applied(ConfigVersion(7));
     fresh.on_confirmed(at(1_000), stored);
-    fresh.on_set_back(at(5_000));
+    fresh.on_store_reverted(at(5_000));
     fresh.on_confirmed(at(4_000), stored);
     assert_eq!(fresh.age(at(4_000)), Some(Duration::from_secs(3)));
     fresh.on_confirmed(at(5_000), stored);
     assert_eq!(fresh.age(at(5_000)), Some(Duration::ZERO));
-    fresh.on_set_back(at(9_000));
-    fresh.on_written_again();
+    fresh.on_store_reverted(at(9_000));
+    fresh.on_config_rewritten();
     fresh.on_confirmed(at(7_000), stored);
     assert_eq!(fresh.age(at(7_000)), Some(Duration::ZERO));
 }
@@ -126,8 +126,8 @@
                 if version <= fresh.version() {
                     youngest = youngest.max(Some(echo as i64 - age as i64));
                 }
-                let vouch = Vouch { echo: at(echo), age: Duration::from_millis(age), version };
-                fresh.on_vouch(vouch);
+                let vouch = PeerConfirmation { echo: at(echo), age: Duration::from_millis(age), version };
+                fresh.on_peer_confirmation(vouch);
             } else {
                 fresh.on_applied(version);
                 fresh.on_confirmed(at(echo), Some(fresh.version()));
@@ -149,8 +149,8 @@
     }
 }
 
-fn news(items: Vec<StoreItem>, revision: u64) -> StoreNews {
-    StoreNews {
+fn news(items: Vec<StoreItem>, revision: u64) -> StoreUpdate {
+    StoreUpdate {
         items,
         revision: StoreRevision::first_era(revision),
     }
@@ -183,8 +183,8 @@
 
 fn pass_on(from: &StoreMirror, to: &mut StoreMirror) {
     match from.since(to.revision()) {
-        Some(Mirrored::List(news)) => to.on_list(&news),
-        Some(Mirrored::Changes(news)) => to.on_changes(&news),
+        Some(MirrorReply::List(news)) => to.on_list(&news),
+        Some(MirrorReply::Changes(news)) => to.on_changes(&news),
         _ => {}
     }
 }
@@ -201,7 +201,7 @@
         let text = format!("{revision}{routes}");
         mirror.on_changes(&news(vec![item("config", revision, Some(&text))], revision));
     }
-    let Some(Mirrored::Changes(told)) = mirror.since(StoreRevision::first_era(1)) else {
+    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(1)) else {
         panic!("the changes are known");
     };
     assert_eq!(told.items.len(), 1);
@@ -225,13 +225,13 @@
     let prompts = |revision| item("scaleford/prompts", revision, Some("parts"));
     mirror.on_list(&news(vec![prompts(1)], 1));
     mirror.on_changes(&news(vec![prompts(2), item("a", 3, Some("a"))], 3));
-    let Some(Mirrored::Changes(told)) = mirror.since(StoreRevision::first_era(1)) else {
+    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(1)) else {
         panic!("the changes are known");
     };
     let keys: Vec<&str> = told.items.iter().map(|i| i.key.as_str()).collect();
     assert_eq!(keys, ["a"]);
     assert_eq!(told.revision, StoreRevision::first_era(3));
-    let Some(Mirrored::List(all)) = mirror.since(StoreRevision::first_era(0)) else {
+    let Some(MirrorReply::List(all)) = mirror.since(StoreRevision::first_era(0)) else {
         panic!("a router that starts is told all");
     };
     assert!(all.items.iter().any(|i| i.key == "scaleford/prompts"));
@@ -252,7 +252,7 @@
             mirror.on_changes(&news(vec![item(&key(n), back, Some("b"))], back));
         }
     }
-    let Some(Mirrored::Changes(told)) = mirror.since(StoreRevision::first_era(3_000)) else {
+    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(3_000)) else {
         panic!("all changes are known");
     };
     assert_eq!(told.items.len(), 3_000);
@@ -269,13 +269,13 @@
     mirror.on_list(&news(vec![a.clone(), b], 5));
     let c = item("c", 8, Some("1"));
     mirror.on_list(&news(vec![a, c.clone()], 9));
-    let Some(Mirrored::Changes(told)) = mirror.since(StoreRevision::first_era(5)) else {
+    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(5)) else {
         panic!("the changes are known");
     };
     assert_eq!(told.items, [c, item("b", 9, None)]);
     // A peer that was ahead of the reader may hold what came and went between its lists.
     let between = mirror.since(StoreRevision::first_era(7));
-    assert!(matches!(between, Some(Mirrored::List(_))), "{between:?}");
+    assert!(matches!(between, Some(MirrorReply::List(_))), "{between:?}");
 }
 
 proptest! {
@@ -313,7 +313,7 @@
             reader.on_list(&news(store.values().cloned().collect(), last));
         }
         pass_on(&readers[0], &mut router);
-        let Some(Mirrored::List(held)) = router.since(StoreRevision::first_era(0)) else {
+        let Some(MirrorReply::List(held)) = router.since(StoreRevision::first_era(0)) else {
             panic!("a router that starts is told all");
         };
         prop_assert_eq!(held.items, store.into_values().collect::<Vec<_>>());
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -15,7 +15,7 @@
         readers::{FleetStart, NextRead, ReadState},
         records::{Exchange, MemberRecord, RecordState},
     },
-    store::{Mirrored, PackedValue, StoreItem, StoreMirror, StoreNews},
+    store::{MirrorReply, PackedValue, StoreItem, StoreMirror, StoreUpdate},
     units::{Instant, StoreRevision},
 };
 
@@ -216,16 +216,16 @@
     };
     let there = |n| item(n, Some(PackedValue::pack(b"{}")), n + 1);
     let mut mirror = StoreMirror::default();
-    mirror.on_list(&StoreNews {
+    mirror.on_list(&StoreUpdate {
         items: (0..targets).map(there).collect(),
         revision: StoreRevision::first_era(targets),
     });
-    mirror.on_changes(&StoreNews {
+    mirror.on_changes(&StoreUpdate {
         items: (0..targets)
             .map(|n| item(n, None, targets + n + 1))
             .collect(),
         revision: StoreRevision::first_era(2 * targets),
     });
     let told = mirror.since(StoreRevision::first_era(targets)).unwrap();
-    assert!(matches!(told, Mirrored::Changes(news) if news.items.len() as u64 == targets));
+    assert!(matches!(told, MirrorReply::Changes(news) if news.items.len() as u64 == targets));
 }
--- a/tests/load/model/setup.rs
+++ b/tests/load/model/setup.rs
@@ -111,8 +111,8 @@
             engine: (self.load.service == Service::Engines).then_some(EngineSpec {
                 slots: self.load.slots,
                 memory_tokens: target::MEMORY_TOKENS,
-                moves: true,
-                usual_answer: None,
+                can_fetch_prompts: true,
+                expected_response: None,
             }),
             goal: self.load.goal,
             surge,
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -181,8 +181,8 @@
             engine: Some(EngineSpec {
                 slots: 64,
                 memory_tokens: self.engines[0].capacity,
-                moves: false,
-                usual_answer: None,
+                can_fetch_prompts: false,
+                expected_response: None,
             }),
             goal: Duration::from_secs(1),
             surge: Surge::None,
