--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -295,7 +295,7 @@
     }
 
     /// Returns the targets of a pool that may receive new requests.
-    pub fn serving<'a>(
+    pub fn serving_targets<'a>(
         &'a self,
         pool: &'a Serves,
     ) -> impl Iterator<Item = (&'a TargetId, &'a Target)> {
--- a/src/intent.rs
+++ b/src/intent.rs
@@ -197,8 +197,10 @@
     pools.dedup();
     let mut warnings = Vec::new();
     for pool in pools {
-        let (count_before, count_after) =
-            (before.serving(pool).count(), after.serving(pool).count());
+        let (count_before, count_after) = (
+            before.serving_targets(pool).count(),
+            after.serving_targets(pool).count(),
+        );
         match count_after {
             0 if count_before > 0 => warnings.push(format!("no target serves {pool} any more")),
             n if n * 2 < count_before => {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -23,7 +23,7 @@
     /// Flag and environment variable of the setting.
     pub setting: String,
     /// Quoted value that was given, with secrets masked; `None` if none was given.
-    pub seen: Option<String>,
+    pub given: Option<String>,
     /// Description of a valid value.
     pub expected: String,
 }
@@ -33,7 +33,7 @@
         let Self {
             setting, expected, ..
         } = self;
-        let seen = match &self.seen {
+        let seen = match &self.given {
             Some(v) => v.as_str(),
             None => "nothing",
         };
@@ -66,7 +66,7 @@
             /// Reads and checks all settings, and reports all invalid ones at once.
             pub fn resolve(source: &dyn Source) -> Result<Self> {
                 let mut faults = Vec::new();
-                $(let $field: Option<$type> = take(
+                $(let $field: Option<$type> = parse_setting(
                     source, stringify!($field), $default, $secret, $expected, &mut faults,
                 );)*
                 match ($($field,)*) {
@@ -219,11 +219,13 @@
         let mut faults: Vec<InvalidSetting> = listens
             .iter()
             .filter(|(_, a)| is_exposed(a))
-            .map(|(name, a)| fault(name, Some(a.to_string()), "loopback, or --allow-plain true"))
+            .map(|(name, a)| {
+                invalid_setting(name, Some(a.to_string()), "loopback, or --allow-plain true")
+            })
             .collect();
         if self.header_limit.0 < 8192 {
             let seen = Some(self.header_limit.to_string());
-            faults.push(fault("header_limit", seen, "8192 bytes or more"));
+            faults.push(invalid_setting("header_limit", seen, "8192 bytes or more"));
         }
         match faults.is_empty() {
             true => Ok(self),
@@ -232,15 +234,15 @@
     }
 }
 
-fn fault(name: &str, seen: Option<String>, expected: &str) -> InvalidSetting {
+fn invalid_setting(name: &str, seen: Option<String>, expected: &str) -> InvalidSetting {
     InvalidSetting {
         setting: format!("{} ({})", flag_name(name), variable_name(name)),
-        seen: seen.map(|s| format!("{s:?}")),
+        given: seen.map(|s| format!("{s:?}")),
         expected: expected.to_owned(),
     }
 }
 
-fn take<T: FromStr>(
+fn parse_setting<T: FromStr>(
     source: &dyn Source,
     name: &str,
     default: Option<&str>,
@@ -253,7 +255,7 @@
     let parsed = text.and_then(|t| t.parse().ok());
     if parsed.is_none() {
         let seen = given.map(|v| if secret { "***".to_owned() } else { v });
-        faults.push(fault(name, seen, expected));
+        faults.push(invalid_setting(name, seen, expected));
     }
     parsed
 }
