--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -108,7 +108,7 @@
         chat_timeout: Duration::from_secs(300),
         max_silence: Duration::from_secs(60),
     };
-    let serving = || routes::serving(&cfg, Revision(1), &rules);
+    let serving = || routes::serving_config(&cfg, Revision(1), &rules);
     let took = time(50, || drop(black_box(serving())));
     println!("configuration: put in force in {took:.0} ns, targets apart");
     let in_force = serving();
@@ -150,7 +150,7 @@
         for target in cfg.targets.values_mut() {
             target.serves = model(0);
         }
-        let targets = routes::targets(&cfg);
+        let targets = routes::target_records(&cfg);
         d.discovery
             .on_configured_list(Instant::default(), targets, StoreRevision::first_era(1));
         for peer in 0..peers {
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -54,7 +54,11 @@
 }
 
 /// Converts the configuration into the form in which requests look it up.
-pub fn serving(config: &FleetConfig, revision: Revision, rules: &CallerRules) -> ServingConfig {
+pub fn serving_config(
+    config: &FleetConfig,
+    revision: Revision,
+    rules: &CallerRules,
+) -> ServingConfig {
     let mut serving = ServingConfig::new(
         StoreRevision::first_era(revision.0),
         ConfigVersion(revision.0),
@@ -74,7 +78,7 @@
 }
 
 /// Converts the configured targets into records for target discovery.
-pub fn targets(config: &FleetConfig) -> Vec<TargetRecord> {
+pub fn target_records(config: &FleetConfig) -> Vec<TargetRecord> {
     let record = |(id, target): (&_, &Target)| TargetRecord {
         id: Clone::clone(id),
         service: target.serves.pool(),
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -81,10 +81,10 @@
         let log = cx.fleet.log.borrow();
         (log.revision(), Arc::clone(log.config()))
     };
-    let serving = routes::serving(&config, revision, &cx.cfg.callers_rules);
+    let serving = routes::serving_config(&config, revision, &cx.cfg.callers_rules);
     let at = serving.revision;
     let applied = cx.apply(serving);
-    let targets = routes::targets(&config);
+    let targets = routes::target_records(&config);
     let now = cx.now();
     let evacuated = config.evacuated.iter().map(|hall| (hall.clone(), at));
     let (halls, changes) = {
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -77,7 +77,7 @@
     use scaleford::{
         config::{
             ClientAccount, FleetConfig, KeyHash, Model, RouteRule, Service,
-            routes::{CallerRules, serving},
+            routes::{CallerRules, serving_config},
             serving::{CallKind, CallerLimits, Denied, RoutingKey, ServingConfig, StreamRepeats},
         },
         dialect::{CallFacts, Dialect},
@@ -113,7 +113,7 @@
             chat_timeout: Duration::from_secs(300),
             max_silence: Duration::from_secs(60),
         };
-        serving(&fleet, Revision(4), &rules)
+        serving_config(&fleet, Revision(4), &rules)
     }
 
     fn read(method: &str, path: &str, body: &str) -> CallFacts {
