--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -68,7 +68,7 @@
         match keeper {
             Some(address) => {
                 let from = cx.cfg.vm.clone();
-                let ask = Message::ShareAsk {
+                let ask = Message::ShareRequest {
                     from,
                     account,
                     demand,
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -18,9 +18,9 @@
     limits::SHARE_EVERY,
     membership::{
         datagram::{Datagram, HallSums, Message, Stamp},
-        heartbeats::HubRolls,
-        pace::{Pace, QUIET_TIME, Telling},
-        peers::Heard,
+        heartbeats::HubDigests,
+        pace::{HEARTBEAT_INTERVAL, SendContent, SendSchedule},
+        peers::DatagramEffect,
         records::Exchange,
     },
     prompt_cache::{PartLocation, PromptPart},
@@ -64,13 +64,13 @@
         calls_halved: now,
         shares: now,
     };
-    let mut pace = Pace::default();
+    let mut pace = SendSchedule::default();
     loop {
         let routers = cx.peers.borrow().alive(cx.now()) as u32;
         let (pause, telling) = pace.next(routers);
         tokio::time::sleep(pause).await;
         let now = cx.now();
-        if telling == Telling::Hints {
+        if telling == SendContent::Hints {
             send_hints(&cx, &udp);
             continue;
         }
@@ -93,7 +93,7 @@
             is_large
         };
         let changed = cx.dispatcher.borrow_mut().load.take_changed();
-        let due = changed || now.since(last.close) >= QUIET_TIME;
+        let due = changed || now.since(last.close) >= HEARTBEAT_INTERVAL;
         match is_large {
             false if due => {
                 last.close = now;
@@ -136,7 +136,7 @@
             let rolls = peers.hub_rolls(now, cx.recent_calls.get());
             (Sums::of_halls(cx), rolls)
         }
-        false => (Sums::default(), HubRolls::default()),
+        false => (Sums::default(), HubDigests::default()),
     };
     told.load = Some(cx.dispatcher.borrow_mut().load.own_counts());
     for to in cx.peers.borrow().close_ones(now) {
@@ -270,7 +270,7 @@
         };
         match postcard::from_bytes::<Message>(&buf[..len]) {
             Ok(Message::State(told)) => on_datagram(&cx, &udp, from, *told),
-            Ok(Message::ShareAsk {
+            Ok(Message::ShareRequest {
                 from: vm,
                 account,
                 demand,
@@ -290,9 +290,9 @@
     let now = cx.now();
     let heard = cx.peers.borrow_mut().on_datagram(now, from, &told);
     let joined = match heard {
-        Heard::Outdated => return,
-        Heard::Joined => Some(told.vm.clone()),
-        Heard::Known => None,
+        DatagramEffect::Outdated => return,
+        DatagramEffect::Joined => Some(told.vm.clone()),
+        DatagramEffect::Known => None,
     };
     if joined.is_some() && told.echo.is_none() {
         // It may not know this router yet.
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -46,7 +46,7 @@
     admission::warm_up::ColdRule,
     config::routes::CallerRules,
     ids::{DataHall, Region, VmId},
-    membership::{datagram::Strength, readers::FleetStart},
+    membership::{datagram::CapacityClass, readers::FleetStart},
     retry::BudgetRule,
     settings::OperatorToken,
 };
@@ -61,7 +61,7 @@
     /// The data hall it stands in.
     pub data_hall: DataHall,
     /// What its link and processor can bear.
-    pub strength: Strength,
+    pub strength: CapacityClass,
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the balancer asks whether this VM is ready, if it does so on a port of its own.
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -13,7 +13,7 @@
     units::{ConfigVersion, StoreRevision, Tokens},
 };
 
-use super::{heartbeats::HallRoll, records::Exchange};
+use super::{heartbeats::MemberDigest, records::Exchange};
 
 /// A reading of one router's clock, sent to a peer and echoed back by it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,9 +30,9 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Strength(u8);
+pub struct CapacityClass(u8);
 
-impl Strength {
+impl CapacityClass {
     /// Computes the class of a VM from its link and its share of a core.
     ///
     /// The scarcer of the two decides; 10 Mbit/s of link are equivalent to a tenth of a core.
@@ -67,7 +67,7 @@
     /// The sender's calls in progress and its other state.
     State(State),
     /// Request for a share of an account's limits, sent to the router that keeps the account.
-    ShareAsk {
+    ShareRequest {
         /// VM of the sender.
         from: VmId,
         /// Account whose limits are shared.
@@ -92,7 +92,7 @@
     /// Data hall of the sender.
     pub hall: DataHall,
     /// Capacity class of the sender's link and processor.
-    pub strength: Strength,
+    pub strength: CapacityClass,
     /// Sequence number of the datagram within the sender's incarnation.
     pub number: u64,
     /// Time at which the datagram was sent, by the sender's clock.
@@ -119,7 +119,7 @@
     /// receivers. Empty unless the sender aggregates the counts of its data hall.
     pub halls: Vec<u8>,
     /// Membership summary of each data hall, as its hub sees it; empty unless the sender is a hub.
-    pub rolls: Vec<HallRoll>,
+    pub rolls: Vec<MemberDigest>,
     /// Step of a membership comparison.
     pub exchange: Option<Exchange>,
     /// Request rates of accounts; usually empty.
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -23,31 +23,31 @@
 };
 
 /// Fleet size from which feeders stand between the readers and the other routers.
-const FED_FLEET: usize = 128;
+const MIN_FLEET_WITH_FEEDERS: usize = 128;
 
 /// Average number of routers per feeder.
-const FED: usize = 24;
+const ROUTERS_PER_FEEDER: usize = 24;
 
 /// Key by which feeders are selected with rendezvous hashing.
 const FEEDERS_KEY: &str = "store feeders";
 
 /// Interval during which a router that had nothing recent is not asked again, if another one is
 /// left to ask.
-const PARENT_REST: Duration = Duration::from_secs(1);
+const PARENT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a feeder that has not listed the store yet waits for a reader before it reads the store
 /// itself.
-const FEEDER_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT_AS_FEEDER: Duration = Duration::from_secs(5);
 
 /// How long the other routers wait for a feeder before they read the store themselves.
 ///
 /// Long enough for feeders that had to read the store themselves to have listed it.
-const FED_WAIT: Duration = Duration::from_secs(9);
+const MAX_WAIT_FOR_FEEDER: Duration = Duration::from_secs(9);
 
 impl Peers {
     /// Whether feeders stand between the readers and the other routers.
     pub fn is_fed(&self, now: Instant) -> bool {
-        self.alive(now) >= FED_FLEET
+        self.alive(now) >= MIN_FLEET_WITH_FEEDERS
     }
 
     /// Whether this router feeds others of its data hall.
@@ -58,7 +58,7 @@
     /// Records that the router at `asked` had nothing recent or did not answer.
     pub fn on_had_nothing(&mut self, now: Instant, asked: SocketAddr) {
         self.had_nothing
-            .retain(|_, at| now.since(*at) < PARENT_REST);
+            .retain(|_, at| now.since(*at) < PARENT_RETRY_INTERVAL);
         self.had_nothing.insert(asked, now);
     }
 
@@ -67,8 +67,8 @@
         let reads_store = self.is_reader(now) && !state.store_lost;
         let parent = self.parent(now).filter(|_| !reads_store);
         let max_wait = match self.is_feeder(now) {
-            true => FEEDER_WAIT,
-            false => FED_WAIT,
+            true => MAX_WAIT_AS_FEEDER,
+            false => MAX_WAIT_FOR_FEEDER,
         };
         match parent {
             Some(parent) => NextRead::Ask(parent),
@@ -93,7 +93,7 @@
         };
         let is_paused = |address: &SocketAddr| {
             let at = self.had_nothing.get(address);
-            at.is_some_and(|at| now.since(*at) < PARENT_REST)
+            at.is_some_and(|at| now.since(*at) < PARENT_RETRY_INTERVAL)
         };
         let addresses = candidates.filter_map(|vm| self.heard.get(vm).map(|p| p.address));
         addresses.into_iter().find(|address| !is_paused(address))
@@ -106,7 +106,7 @@
         let others = others.map(|(vm, p)| (vm, p.strength));
         let me = (*hall == self.hall).then_some((&self.me, self.strength));
         let here: Vec<_> = others.chain(me).collect();
-        let wanted = here.len().div_ceil(FED);
+        let wanted = here.len().div_ceil(ROUTERS_PER_FEEDER);
         let strongest = here.iter().map(|(_, strength)| *strength).max();
         let minimum = strongest.unwrap_or_default().half();
         let (strong, weak): (Vec<_>, Vec<_>) = here.into_iter().partition(|r| r.1 >= minimum);
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -21,20 +21,20 @@
 
 /// Interval between two ticks from which this router is taken to have stalled: ten times the usual
 /// interval.
-const ABSENT: Duration = Duration::from_secs(1);
+const MIN_STALL: Duration = Duration::from_secs(1);
 
 /// Factor on the silence limit for a router that this one learned of recently and has no datagram
 /// from: it may not know any hub yet.
-const NEVER_HEARD: f64 = 4.0;
+const NEW_PEER_FACTOR: f64 = 4.0;
 
 /// Factor on the silence limit for a router that has sent nothing since this one became its hub.
 ///
 /// Such a router notices that the previous hub is down only after the same silence.
-const JUST_WATCHED: f64 = 1.5;
+const NEWLY_MONITORED_FACTOR: f64 = 1.5;
 
 /// Multiple of the silence limit for which a router counts as alive while no roll of its data hall
 /// matches.
-const UNCONFIRMED: u32 = 4;
+const UNCONFIRMED_FACTOR: u32 = 4;
 
 /// Short hash of a router's name.
 ///
@@ -58,7 +58,7 @@
 
 /// Summary of the routers of one data hall from which its hub receives heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallRoll {
+pub struct MemberDigest {
     hall: DataHall,
     /// Time since the hub made the roll, in milliseconds.
     age_ms: u16,
@@ -70,16 +70,16 @@
 
 /// Rolls that a hub sends.
 #[derive(Debug, Default)]
-pub struct HubRolls {
+pub struct HubDigests {
     /// Rolls of all data halls, for the routers of the hub's own data hall.
-    pub near: Vec<HallRoll>,
+    pub near: Vec<MemberDigest>,
     /// Roll of the hub's own data hall, for the hubs of the others.
-    pub far: Vec<HallRoll>,
+    pub far: Vec<MemberDigest>,
 }
 
 /// Latest roll of a data hall.
 #[derive(Debug)]
-pub(super) struct KnownRoll {
+pub(super) struct KnownDigest {
     at: Instant,
     digest: u64,
     calls: u32,
@@ -89,22 +89,22 @@
     /// Returns how long a silent router counts as alive where hubs report failures, if there is no
     /// report about it.
     pub(super) fn unconfirmed_after(&self) -> Duration {
-        pace::silent_after(self.size()) * UNCONFIRMED
+        pace::silent_after(self.size()) * UNCONFIRMED_FACTOR
     }
 
     /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
     /// seconds.
-    pub fn hub_rolls(&mut self, now: Instant, own_calls: u32) -> HubRolls {
+    pub fn hub_rolls(&mut self, now: Instant, own_calls: u32) -> HubDigests {
         let near = self.heard.values().filter(|p| p.hall == self.hall);
         let calls = near.map(|p| p.calls).sum::<u32>() + own_calls;
-        let own = KnownRoll {
+        let own = KnownDigest {
             at: now,
             digest: self.hall_digest(&self.hall),
             calls,
         };
         self.rolls.insert(self.hall.clone(), own);
         let fresh = self.rolls.iter().filter(|(_, r)| self.is_fresh(now, r));
-        let roll = |(hall, roll): (&DataHall, &KnownRoll)| HallRoll {
+        let roll = |(hall, roll): (&DataHall, &KnownDigest)| MemberDigest {
             hall: hall.clone(),
             age_ms: now
                 .since(roll.at)
@@ -114,23 +114,23 @@
             digest: roll.digest,
             calls: roll.calls,
         };
-        let near: Vec<HallRoll> = fresh.map(roll).collect();
+        let near: Vec<MemberDigest> = fresh.map(roll).collect();
         let far = near.iter().filter(|r| r.hall == self.hall);
-        HubRolls {
+        HubDigests {
             far: far.cloned().collect(),
             near,
         }
     }
 
     /// Applies rolls from a hub, of its own data hall or of others.
-    pub(super) fn on_rolls(&mut self, now: Instant, from: &VmId, rolls: &[HallRoll]) {
+    pub(super) fn on_rolls(&mut self, now: Instant, from: &VmId, rolls: &[MemberDigest]) {
         for received in rolls {
             let at = now.before(Duration::from_millis(u64::from(received.age_ms)));
             if self.rolls.get(&received.hall).is_some_and(|r| r.at >= at) {
                 continue;
             }
             let (digest, calls) = (received.digest, received.calls);
-            let roll = KnownRoll { at, digest, calls };
+            let roll = KnownDigest { at, digest, calls };
             self.rolls.insert(received.hall.clone(), roll);
             match self.hall_digest(&received.hall) == received.digest {
                 true => self.confirm(&received.hall, at),
@@ -157,7 +157,7 @@
         here.fold(0, |all, (vm, life)| all ^ life_hash(vm, life))
     }
 
-    fn is_fresh(&self, now: Instant, roll: &KnownRoll) -> bool {
+    fn is_fresh(&self, now: Instant, roll: &KnownDigest) -> bool {
         now.since(roll.at) < self.unconfirmed_after()
     }
 
@@ -207,8 +207,8 @@
     fn patience(&self, now: Instant, peer: &Peer) -> f64 {
         let is_new = now.since(peer.changed_at) < self.unconfirmed_after();
         match () {
-            () if is_new && !peer.is_direct() => NEVER_HEARD,
-            () if Some(peer.heard) < peer.watched_since => JUST_WATCHED,
+            () if is_new && !peer.is_direct() => NEW_PEER_FACTOR,
+            () if Some(peer.heard) < peer.watched_since => NEWLY_MONITORED_FACTOR,
             () => 1.0,
         }
     }
@@ -263,7 +263,7 @@
     /// Otherwise it would take the whole fleet's retry budget for itself until the next datagrams
     /// arrive (1 of 7 routers alive, `tests/peers.rs`).
     pub(super) fn excuse_silence(&mut self, before: Instant, now: Instant) {
-        if now.since(before) < ABSENT {
+        if now.since(before) < MIN_STALL {
             return;
         }
         let were_alive: Vec<VmId> = self.names(before).cloned().collect();
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    datagram::Strength,
+    datagram::CapacityClass,
     pace,
     peers::{Peers, Receiver},
 };
@@ -16,14 +16,14 @@
 
 /// Fleet size from which counts go through hubs; below it, every router sends to every other at 1
 /// kB/s each.
-pub(super) const LARGE_FLEET: usize = 16;
+pub(super) const MIN_LARGE_FLEET: usize = 16;
 
 /// Number of hubs of one data hall; the second replaces the first when that fails.
-const HUBS: usize = 2;
+const HUBS_PER_HALL: usize = 2;
 
 /// How long the list of hubs is cached while no router joins or leaves: computing it visits all
 /// routers.
-const HUBS_REMEMBERED: Duration = Duration::from_millis(400);
+const HUB_TABLE_TTL: Duration = Duration::from_millis(400);
 
 /// Cached list of the hubs of each data hall.
 #[derive(Debug, Default)]
@@ -40,14 +40,14 @@
 
     fn is_fresh(&self, now: Instant) -> bool {
         self.at
-            .is_some_and(|at| at <= now && now.since(at) < HUBS_REMEMBERED)
+            .is_some_and(|at| at <= now && now.since(at) < HUB_TABLE_TTL)
     }
 }
 
 impl Peers {
     /// Whether counts go through hubs.
     pub fn is_large(&self, now: Instant) -> bool {
-        self.alive(now) >= LARGE_FLEET
+        self.alive(now) >= MIN_LARGE_FLEET
     }
 
     /// Returns the peers that receive counts as they change.
@@ -92,11 +92,11 @@
     /// have.
     pub(super) fn strong_keepers<'a>(
         key: &str,
-        routers: impl Iterator<Item = (&'a VmId, Strength)>,
+        routers: impl Iterator<Item = (&'a VmId, CapacityClass)>,
         n: usize,
     ) -> Vec<&'a VmId> {
-        let mut all: Vec<(&VmId, Strength)> = routers.collect();
-        let mut strengths: Vec<Strength> = all.iter().map(|(_, strength)| *strength).collect();
+        let mut all: Vec<(&VmId, CapacityClass)> = routers.collect();
+        let mut strengths: Vec<CapacityClass> = all.iter().map(|(_, strength)| *strength).collect();
         strengths.sort_unstable_by(|a, b| b.cmp(a));
         let strongest = strengths.first().copied().unwrap_or_default();
         let nth = strengths.get(n.saturating_sub(1)).copied();
@@ -106,7 +106,7 @@
     }
 
     /// Returns all live routers with their capacity class, this one included.
-    pub(super) fn strengths(&self, now: Instant) -> impl Iterator<Item = (&VmId, Strength)> {
+    pub(super) fn strengths(&self, now: Instant) -> impl Iterator<Item = (&VmId, CapacityClass)> {
         let others = self.living_named(now).map(|(vm, p)| (vm, p.strength));
         others.chain(std::iter::once((&self.me, self.strength)))
     }
@@ -119,7 +119,9 @@
         let others = table.hubs.iter().filter(|(hall, _)| **hall != self.hall);
         let aggregators = |(_, hubs): (_, &Vec<VmId>)| {
             let first_is_up = hubs.first().is_some_and(|hub| !self.is_silent(now, hub));
-            let aggregators = hubs.iter().take(if first_is_up { 1 } else { HUBS });
+            let aggregators = hubs
+                .iter()
+                .take(if first_is_up { 1 } else { HUBS_PER_HALL });
             aggregators.cloned().collect::<Vec<_>>()
         };
         others.flat_map(aggregators).collect()
@@ -147,7 +149,7 @@
         if table.is_fresh(now) {
             return;
         }
-        let mut halls: BTreeMap<&DataHall, Vec<(&VmId, Strength)>> = BTreeMap::new();
+        let mut halls: BTreeMap<&DataHall, Vec<(&VmId, CapacityClass)>> = BTreeMap::new();
         for (vm, peer) in self.living_named(now) {
             halls
                 .entry(&peer.hall)
@@ -158,8 +160,8 @@
             .entry(&self.hall)
             .or_default()
             .push((&self.me, self.strength));
-        let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, Strength)>)| {
-            let hubs = Self::strong_keepers("hub", routers.into_iter(), HUBS);
+        let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, CapacityClass)>)| {
+            let hubs = Self::strong_keepers("hub", routers.into_iter(), HUBS_PER_HALL);
             (hall.clone(), hubs.into_iter().cloned().collect())
         };
         table.hubs = halls.into_iter().map(hubs).collect();
--- a/src/membership/pace.rs
+++ b/src/membership/pace.rs
@@ -13,78 +13,81 @@
 
 /// Interval between two sends of changed counts in a small fleet: several fall within the duration
 /// of a call.
-const TELL_EVERY: Duration = Duration::from_millis(100);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Part of the send interval per router of the fleet, which keeps the load of a hub constant.
 ///
 /// The more routers there are, the smaller the part of the traffic that each one has, and the
 /// slower its counts change relative to the calls in progress. Up to 85 routers the interval stays
 /// at its minimum.
-const TELL_PER_ROUTER: Duration = Duration::from_micros(1_200);
+const SEND_INTERVAL_PER_ROUTER: Duration = Duration::from_micros(1_200);
 
 /// Maximum send interval: counts that decisions rely on must not be older than a second after
 /// passing two hubs.
-const TELL_SLOWEST: Duration = Duration::from_millis(500);
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval after which a datagram is sent as a heartbeat even if nothing changed.
-pub const QUIET_TIME: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Number of consecutive heartbeats that a router may miss before it counts as down: if one
 /// datagram in a hundred is lost, that many in a row are lost once in ten thousand million times.
-const HEARTBEATS_MISSED: u32 = 5;
+const MAX_MISSED_HEARTBEATS: u32 = 5;
 
 /// Minimum silence after which a router counts as down: one that is busy for a second is still
 /// alive.
-const SILENT_LEAST: Duration = Duration::from_secs(2);
+const MIN_FAILURE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Number of consecutive sums of a hub that may be missing before the second hub replaces it: one
 /// may be lost, and one late.
-const SUMS_MISSED: u32 = 3;
+const MAX_MISSED_SUMS: u32 = 3;
 
 /// Minimum silence of a hub after which the second one replaces it.
-const HUB_SILENT_LEAST: Duration = Duration::from_millis(700);
+const MIN_HUB_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Number of further sums that may be missing before the last one expires: the time until those of
 /// the second hub arrive, with one of them lost.
-const SUMS_AWAITED: u32 = 3;
+const SUMS_AWAITED_AFTER_FAILOVER: u32 = 3;
 
 /// Minimum time for which a data hall's sum is valid.
-const SUM_BELIEVED_LEAST: Duration = Duration::from_millis(1_500);
+const MIN_SUM_TTL: Duration = Duration::from_millis(1_500);
 
 /// Returns the interval at which a router sends changes to its hubs, and a hub to its data hall, in
 /// a fleet of `routers`.
 pub fn tell_every(routers: usize) -> Duration {
     let routers = u32::try_from(routers).unwrap_or(u32::MAX);
-    let paced = TELL_PER_ROUTER.saturating_mul(routers);
-    paced.clamp(TELL_EVERY, TELL_SLOWEST)
+    let paced = SEND_INTERVAL_PER_ROUTER.saturating_mul(routers);
+    paced.clamp(MIN_SEND_INTERVAL, MAX_SEND_INTERVAL)
 }
 
 /// Returns the longest interval between two datagrams of a router to its hubs.
 fn heartbeat_every(routers: usize) -> Duration {
     let interval = tell_every(routers);
-    let intervals = QUIET_TIME.div_duration_f64(interval).ceil().max(1.0);
+    let intervals = HEARTBEAT_INTERVAL
+        .div_duration_f64(interval)
+        .ceil()
+        .max(1.0);
     interval.mul_f64(intervals)
 }
 
 /// Returns how long a router may be silent to those that monitor it.
 pub fn silent_after(routers: usize) -> Duration {
-    SILENT_LEAST.max(heartbeat_every(routers) * HEARTBEATS_MISSED)
+    MIN_FAILURE_TIMEOUT.max(heartbeat_every(routers) * MAX_MISSED_HEARTBEATS)
 }
 
 /// Returns how long a hub may be silent before the second one replaces it.
 pub fn hub_silent_after(routers: usize) -> Duration {
-    HUB_SILENT_LEAST.max(tell_every(routers) * SUMS_MISSED)
+    MIN_HUB_TIMEOUT.max(tell_every(routers) * MAX_MISSED_SUMS)
 }
 
 /// Returns how long a data hall's sum is valid.
 pub fn sum_expires(routers: usize) -> Duration {
-    let awaited = tell_every(routers) * SUMS_AWAITED;
-    SUM_BELIEVED_LEAST.max(hub_silent_after(routers) + awaited)
+    let awaited = tell_every(routers) * SUMS_AWAITED_AFTER_FAILOVER;
+    MIN_SUM_TTL.max(hub_silent_after(routers) + awaited)
 }
 
 /// Content that a router sends at the end of an interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Telling {
+pub enum SendContent {
     /// All changes.
     All,
     /// Only hints, if there are any: prompts that were first processed by a target, and targets
@@ -94,21 +97,24 @@
 
 /// Send schedule of one router.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct SendSchedule {
     told: u32,
 }
 
-impl Pace {
+impl SendSchedule {
     /// Returns the interval to the next send in a fleet of `routers`, and what is sent at its end.
-    pub fn next(&mut self, routers: u32) -> (Duration, Telling) {
+    pub fn next(&mut self, routers: u32) -> (Duration, SendContent) {
         let full_interval = tell_every(routers as usize);
-        let parts = full_interval.div_duration_f64(TELL_EVERY).round().max(1.0) as u32;
+        let parts = full_interval
+            .div_duration_f64(MIN_SEND_INTERVAL)
+            .round()
+            .max(1.0) as u32;
         self.told += 1;
         let content = match self.told >= parts {
-            true => Telling::All,
-            false => Telling::Hints,
+            true => SendContent::All,
+            false => SendContent::Hints,
         };
-        if content == Telling::All {
+        if content == SendContent::All {
             self.told = 0;
         }
         (full_interval / parts, content)
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{
-    datagram::{Datagram, Stamp, Strength},
+    datagram::{CapacityClass, Datagram, Stamp},
     heartbeats::VmHash,
     records::MemberRecord,
 };
@@ -18,11 +18,11 @@
 ///
 /// Twice the longest interval between two datagrams of a router, also in a fleet of several
 /// hundred.
-const LIFE_SILENT: Duration = Duration::from_secs(1);
+const INCARNATION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Limits on the silence of a router, which depend on the size of the fleet.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Silence {
+pub(super) struct SilenceLimits {
     /// Limit towards the routers that monitor it.
     pub(super) silent_after: Duration,
     /// Limit if no router reports it as down.
@@ -34,7 +34,7 @@
 pub(super) struct Peer {
     pub(super) address: SocketAddr,
     pub(super) hall: DataHall,
-    pub(super) strength: Strength,
+    pub(super) strength: CapacityClass,
     pub(super) hash: VmHash,
     /// When its last datagram arrived; before the first one, when others last received a heartbeat
     /// of it.
@@ -146,7 +146,7 @@
     /// Incarnations are numbered by the time of day, which may have been set back: a lower number
     /// is accepted once the known incarnation is silent.
     pub(super) fn is_of_the_past(&self, now: Instant, other: Incarnation) -> bool {
-        let is_active = now.since(self.heard) < LIFE_SILENT;
+        let is_active = now.since(self.heard) < INCARNATION_TIMEOUT;
         self.former_life == Some(other) || (self.life() > other && is_active)
     }
 
@@ -168,7 +168,7 @@
     /// A router that did not answer a call is alive again once others report a later heartbeat. The
     /// true time of a reported heartbeat is earlier than the reported one by `silent_after` at the
     /// most.
-    pub(super) fn lives(&self, now: Instant, limits: Silence) -> bool {
+    pub(super) fn lives(&self, now: Instant, limits: SilenceLimits) -> bool {
         let heartbeat = self.last_heartbeat();
         let is_back = |at: Instant| heartbeat > at + limits.silent_after;
         let is_reachable = self.unreachable_at.is_none_or(is_back);
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -12,12 +12,12 @@
 pub use super::peer::{Member, MemberState, Receiver};
 
 use super::{
-    datagram::{Datagram, Strength},
-    heartbeats::{KnownRoll, VmHash},
-    hubs::{HubTable, LARGE_FLEET},
+    datagram::{CapacityClass, Datagram},
+    heartbeats::{KnownDigest, VmHash},
+    hubs::{HubTable, MIN_LARGE_FLEET},
     pace,
-    peer::{Peer, Silence},
-    records::Comparing,
+    peer::{Peer, SilenceLimits},
+    records::ComparisonState,
 };
 use crate::{
     config::freshness::PeerConfirmation,
@@ -28,21 +28,21 @@
 };
 
 /// Silence up to which a peer counts as alive in a small fleet.
-const ALIVE_FOR: Duration = PEER_TTL;
+const SMALL_FLEET_TIMEOUT: Duration = PEER_TTL;
 
 /// How long datagrams still go to the address of a silent peer, which may only be cut off.
-pub(super) const ADDRESS_KEPT: Duration = Duration::from_mins(1);
+pub(super) const ADDRESS_TTL: Duration = Duration::from_mins(1);
 
 /// Number of routers that send a peer that joined what it missed; two, as one may be about to stop.
-const TEACHERS: usize = 2;
+const SYNC_SENDERS: usize = 2;
 
 /// Interval before a peer that joined is sent the same data again: a peer that only some routers
 /// reach joins again and again.
-const TEACH_AGAIN: Duration = Duration::from_secs(10);
+const MIN_SYNC_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Result of processing a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum DatagramEffect {
     /// The datagram is older than one that was processed before.
     Outdated,
     /// The peer was not alive before, or started a new incarnation.
@@ -56,14 +56,14 @@
 pub struct Peers {
     pub(super) me: VmId,
     pub(super) hall: DataHall,
-    pub(super) strength: Strength,
+    pub(super) strength: CapacityClass,
     pub(super) life: Incarnation,
     pub(super) own_address: SocketAddr,
     pub(super) heard: BTreeMap<VmId, Peer>,
     pub(super) unheard: BTreeMap<SocketAddr, Instant>,
     /// Latest roll of each data hall.
-    pub(super) rolls: BTreeMap<DataHall, KnownRoll>,
-    pub(super) comparing: Comparing,
+    pub(super) rolls: BTreeMap<DataHall, KnownDigest>,
+    pub(super) comparing: ComparisonState,
     /// Since when this router monitors others.
     pub(super) observing_since: Option<Instant>,
     pub(super) hubs: RefCell<HubTable>,
@@ -80,7 +80,7 @@
     pub fn new(
         me: VmId,
         hall: DataHall,
-        strength: Strength,
+        strength: CapacityClass,
         life: Incarnation,
         own_address: SocketAddr,
         seeds: &[SocketAddr],
@@ -94,7 +94,7 @@
             heard: BTreeMap::new(),
             unheard: BTreeMap::new(),
             rolls: BTreeMap::new(),
-            comparing: Comparing::default(),
+            comparing: ComparisonState::default(),
             observing_since: None,
             hubs: RefCell::default(),
             had_nothing: BTreeMap::new(),
@@ -116,24 +116,33 @@
     }
 
     /// Processes a datagram from a peer.
-    pub fn on_datagram(&mut self, now: Instant, from: SocketAddr, datagram: &Datagram) -> Heard {
+    pub fn on_datagram(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        datagram: &Datagram,
+    ) -> DatagramEffect {
         if datagram.vm == self.me {
-            return Heard::Outdated;
+            return DatagramEffect::Outdated;
         }
         let before = self.heard.get(&datagram.vm);
         let was_alive = before.is_some_and(|p| p.lives(now, self.silence()));
         let heard = match before {
             Some(p) if p.life() == datagram.sent.life && p.number >= datagram.number => {
-                return Heard::Outdated;
+                return DatagramEffect::Outdated;
+            }
+            Some(p) if p.is_of_the_past(now, datagram.sent.life) => {
+                return DatagramEffect::Outdated;
             }
-            Some(p) if p.is_of_the_past(now, datagram.sent.life) => return Heard::Outdated,
             // A peer that stops is still the same incarnation, and needs no data.
-            Some(p) if p.life() == datagram.sent.life && (was_alive || p.stopping) => Heard::Known,
-            _ if datagram.stopping => Heard::Known,
-            _ => Heard::Joined,
+            Some(p) if p.life() == datagram.sent.life && (was_alive || p.stopping) => {
+                DatagramEffect::Known
+            }
+            _ if datagram.stopping => DatagramEffect::Known,
+            _ => DatagramEffect::Joined,
         };
         let peer = Peer::heard(now, from, datagram, before);
-        let is_change = was_alive == datagram.stopping || heard == Heard::Joined;
+        let is_change = was_alive == datagram.stopping || heard == DatagramEffect::Joined;
         self.heard.insert(datagram.vm.clone(), peer);
         if is_change {
             self.on_change(now, &datagram.vm);
@@ -177,7 +186,7 @@
         let before = self.ticked.replace(now).unwrap_or(now);
         self.excuse_silence(before, now);
         self.observe(now);
-        let keep = |since: Instant| now.since(since) < ADDRESS_KEPT;
+        let keep = |since: Instant| now.since(since) < ADDRESS_TTL;
         self.heard.retain(|_, p| keep(p.last_heartbeat()));
         self.unheard.retain(|_, since| keep(*since));
     }
@@ -185,14 +194,14 @@
     /// Whether this router is one of the few that send a peer that joined the state of the fleet.
     pub fn is_teacher_of(&self, now: Instant, joined: &VmId) -> bool {
         let others = self.names(now).filter(|vm| *vm != joined);
-        owners(joined.as_str(), others, TEACHERS).contains(&&self.me)
+        owners(joined.as_str(), others, SYNC_SENDERS).contains(&&self.me)
     }
 
     /// Whether this router has to send a peer that joined what it missed; if so, records that it
     /// does.
     pub fn take_teaching(&mut self, now: Instant, joined: &VmId) -> bool {
         self.taught
-            .retain(|_, (_, at)| now.since(*at) < TEACH_AGAIN);
+            .retain(|_, (_, at)| now.since(*at) < MIN_SYNC_INTERVAL);
         let Some(life) = self.heard.get(joined).map(Peer::life) else {
             return false;
         };
@@ -275,12 +284,12 @@
 
     /// Returns the limits on the silence of a router. In a small fleet every router receives
     /// heartbeats from every other.
-    fn silence(&self) -> Silence {
-        let counts_for = match self.heard.len() + 1 < LARGE_FLEET {
-            true => ALIVE_FOR,
-            false => ALIVE_FOR.max(self.unconfirmed_after()),
+    fn silence(&self) -> SilenceLimits {
+        let counts_for = match self.heard.len() + 1 < MIN_LARGE_FLEET {
+            true => SMALL_FLEET_TIMEOUT,
+            false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_after()),
         };
-        Silence {
+        SilenceLimits {
             silent_after: pace::silent_after(self.size()),
             counts_for,
         }
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -13,7 +13,7 @@
 ///
 /// If a third of the routers are cut off from the store, one of three nearly always still reaches
 /// it. If none does, as many of the routers that reach it replace them.
-const READERS: usize = 3;
+const READER_COUNT: usize = 3;
 
 /// Key by which readers are selected with rendezvous hashing.
 const READERS_KEY: &str = "store readers";
@@ -23,23 +23,23 @@
 ///
 /// All routers have to know a change after two seconds, even if it is made right after all readers
 /// were cut off.
-const READER_FRESH: Duration = Duration::from_millis(1_500);
+const READER_TTL: Duration = Duration::from_millis(1_500);
 
 /// How long after its start a router waits for a reader before it reads the store itself.
 ///
 /// Routers that start together do not know one another yet.
-const FIRST_WAIT: Duration = Duration::from_millis(700);
+const START_WAIT: Duration = Duration::from_millis(700);
 
 /// Addition to that wait per live router: before all routers go to the store at once, the readers
 /// of a fleet that starts together must have listed all targets and passed them on to some of the
 /// others.
-const FIRST_WAIT_PER_ROUTER: Duration = Duration::from_millis(8);
+const START_WAIT_PER_ROUTER: Duration = Duration::from_millis(8);
 
 /// How long the routers of a fleet that starts for the first time only discover one another.
 ///
 /// Processes start within some tenths of a second, and discovery takes several rounds of datagrams
 /// from the few known addresses.
-const FIND_ONE_ANOTHER: Duration = Duration::from_millis(800);
+const DISCOVERY_TIME: Duration = Duration::from_millis(800);
 
 /// How long after its start a non-reader of such a fleet waits for a reader.
 ///
@@ -51,33 +51,33 @@
 ///
 /// Each call has a cost, and the readers notice first that the store is back. In the meantime it
 /// asks any reader that appears.
-const BYSTANDER_LEAST: Duration = Duration::from_millis(1_500);
+const MIN_NON_READER_BACKOFF: Duration = Duration::from_millis(1_500);
 
 /// Addition to that interval per live router, so that a fleet of hundreds does not call a store
 /// that is down 200 times a second. Many routers that call rarely notice its return as soon as a
 /// few that call often.
-const BYSTANDER_PER_ROUTER: Duration = Duration::from_millis(50);
+const NON_READER_BACKOFF_PER_ROUTER: Duration = Duration::from_millis(50);
 
 /// Maximum of that interval: a router that does not know that its peers are gone recovers by
 /// itself.
-const BYSTANDER_LONGEST: Duration = Duration::from_secs(5);
+const MAX_NON_READER_BACKOFF: Duration = Duration::from_secs(5);
 
 /// How long a router that starts later than the first time waits for a datagram of any other: a
 /// live router at one of the known addresses answers within this time.
-const LOOK_AROUND: Duration = Duration::from_millis(250);
+const FIRST_CONTACT_WAIT: Duration = Duration::from_millis(250);
 
 /// Fleet size from which a starting router waits until it knows the others.
 ///
 /// Otherwise each router of a fleet that starts together lists all targets by itself, which takes
 /// the store longer than the routers take to discover one another.
-const MANY: usize = 32;
+const MIN_FLEET_TO_SETTLE: usize = 32;
 
 /// Maximum of that wait while no router serves calls yet.
-const SETTLE_LONGEST: Duration = Duration::from_secs(4);
+const MAX_SETTLE_FIRST_START: Duration = Duration::from_secs(4);
 
 /// Maximum of that wait while clients wait: a few dozen routers that take themselves for readers
 /// cost less than a longer wait.
-const SETTLE_LATER: Duration = Duration::from_millis(1_500);
+const MAX_SETTLE_LATER_START: Duration = Duration::from_millis(1_500);
 
 /// Whether the whole fleet starts for the first time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -130,7 +130,7 @@
         let is_reader = self.reads_for_all(now, state);
         let first_wait = match state.start {
             FleetStart::First => FIRST_START_WAIT,
-            FleetStart::Later => FIRST_WAIT + FIRST_WAIT_PER_ROUTER * self.alive(now) as u32,
+            FleetStart::Later => START_WAIT + START_WAIT_PER_ROUTER * self.alive(now) as u32,
         };
         // While the store does not answer, what any peer still knows is better than nothing.
         let ahead = self.ahead(now, state.revision);
@@ -147,13 +147,14 @@
     fn looks_around(&self, now: Instant, start: FleetStart) -> bool {
         let knows_none = self.heard.is_empty();
         let (is_discovering, longest) = match start {
-            FleetStart::First => (now.0 < FIND_ONE_ANOTHER, SETTLE_LONGEST),
+            FleetStart::First => (now.0 < DISCOVERY_TIME, MAX_SETTLE_FIRST_START),
             FleetStart::Later => {
                 let waits = knows_none && !self.unheard.is_empty();
-                (now.0 < LOOK_AROUND && waits, SETTLE_LATER)
+                (now.0 < FIRST_CONTACT_WAIT && waits, MAX_SETTLE_LATER_START)
             }
         };
-        let is_learning = self.size() >= MANY && !self.is_settled(now) && now.0 < longest;
+        let is_learning =
+            self.size() >= MIN_FLEET_TO_SETTLE && !self.is_settled(now) && now.0 < longest;
         is_discovering || is_learning
     }
 
@@ -165,8 +166,8 @@
 
     /// Returns the interval between a non-reader's own calls to a store that does not answer.
     pub fn bystander_backoff(&self, now: Instant) -> Duration {
-        let interval = BYSTANDER_PER_ROUTER * self.alive(now) as u32;
-        interval.clamp(BYSTANDER_LEAST, BYSTANDER_LONGEST)
+        let interval = NON_READER_BACKOFF_PER_ROUTER * self.alive(now) as u32;
+        interval.clamp(MIN_NON_READER_BACKOFF, MAX_NON_READER_BACKOFF)
     }
 
     /// Whether this router is one of the designated readers.
@@ -230,7 +231,7 @@
     }
 
     pub(super) fn named(&self, now: Instant) -> Vec<&VmId> {
-        Self::strong_keepers(READERS_KEY, self.strengths(now), READERS)
+        Self::strong_keepers(READERS_KEY, self.strengths(now), READER_COUNT)
     }
 
     /// Returns the designated readers that recently received an answer from the store, `me`
@@ -243,13 +244,13 @@
         let mut acting = self.named(now);
         acting.retain(|vm| fresh.iter().any(|(f, _)| f == vm));
         match acting.is_empty() {
-            true => Self::strong_keepers(READERS_KEY, fresh.into_iter(), READERS),
+            true => Self::strong_keepers(READERS_KEY, fresh.into_iter(), READER_COUNT),
             false => acting,
         }
     }
 
     fn is_fresh_reader(&self, now: Instant, peer: &Peer) -> bool {
-        let fresh = |at| now.since(at) < READER_FRESH;
+        let fresh = |at| now.since(at) < READER_TTL;
         self.is_alive(now, peer) && peer.store_heard.is_some_and(fresh)
     }
 }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -11,11 +11,11 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{
-    datagram::{Datagram, Strength},
+    datagram::{CapacityClass, Datagram},
     heartbeats::VmHash,
     pace,
     peer::{Peer, Receiver},
-    peers::{ADDRESS_KEPT, Peers},
+    peers::{ADDRESS_TTL, Peers},
 };
 use crate::{
     ids::{DataHall, Incarnation, VmId},
@@ -27,46 +27,46 @@
 const BUCKETS: usize = 256;
 
 /// Maximum number of records in one datagram: a few kilobytes.
-const RECORDS_SENT: usize = 96;
+const MAX_RECORDS_PER_DATAGRAM: usize = 96;
 
 /// Maximum number of records that a router sends per second: 3 Mbit/s. It may be one of few that a
 /// whole fleet asks when it starts.
-const RECORDS_A_SECOND: f64 = 8_192.0;
+const MAX_RECORDS_PER_SECOND: f64 = 8_192.0;
 
 /// Maximum number of records that may be sent at once after a quiet period.
-const RECORDS_AT_ONCE: f64 = 1_024.0;
+const MAX_RECORD_BURST: f64 = 1_024.0;
 
 /// Interval between two comparisons with other routers.
-const COMPARE_EVERY: Duration = Duration::from_millis(500);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval between two comparisons while this router still learns of others.
-const COMPARE_AT_FIRST: Duration = Duration::from_millis(100);
+const COMPARE_INTERVAL_LEARNING: Duration = Duration::from_millis(100);
 
 /// Time after the last change in the membership from which no more changes are expected.
-const SETTLED_AFTER: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// One in this many comparisons is with a router that counts as down, so that two halves of a fleet
 /// that were separated discover that they can reach each other again.
-const TRY_GONE_EVERY: u64 = 4;
+const COMPARISONS_PER_DOWN_PEER: u64 = 4;
 
 /// One in this many comparisons may be with a router of another data hall even if one of this hall
 /// is known: traffic between halls is expensive, and hubs report changes elsewhere.
-const TRY_FAR_EVERY: u64 = 4;
+const COMPARISONS_PER_REMOTE_PEER: u64 = 4;
 
 /// How long hubs repeat a change: a few datagrams may be lost.
-const CHANGE_SENT_FOR: Duration = Duration::from_secs(2);
+const CHANGE_REPEAT_TIME: Duration = Duration::from_secs(2);
 
 /// Tolerance when a down report and a heartbeat are compared, as times travel as ages.
 ///
 /// A down report may be older than the last known heartbeat by this much, and a heartbeat must be
 /// younger than the down report by this much to bring the router back.
-const GONE_SLACK: Duration = Duration::from_secs(1);
+const DOWN_REPORT_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// Addition to the age of a heartbeat that a peer reports, more than its transmission takes.
 ///
 /// A heartbeat that passes from router to router must not grow younger, or reports would keep a
 /// dead router alive for ever.
-const REPORTED_OLDER: Duration = Duration::from_millis(100);
+const REPORTED_AGE_MARGIN: Duration = Duration::from_millis(100);
 
 /// One router, as another one knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
     /// Its data hall.
     pub hall: DataHall,
     /// Its capacity class.
-    pub strength: Strength,
+    pub strength: CapacityClass,
     /// Address at which its peers reach it.
     pub address: SocketAddr,
     /// Its incarnation.
@@ -94,7 +94,7 @@
         heard_ms: u32,
     },
     /// It is silent, or stops.
-    Gone {
+    Down {
         /// Time since it became so, in milliseconds.
         since_ms: u32,
     },
@@ -130,7 +130,7 @@
 
 /// Progress of this router in learning of others.
 #[derive(Debug)]
-pub(super) struct Comparing {
+pub(super) struct ComparisonState {
     /// Time of the last change in the membership.
     news_at: Instant,
     /// Highest number of routers that a peer reported.
@@ -142,20 +142,20 @@
     refilled: Instant,
 }
 
-impl Default for Comparing {
+impl Default for ComparisonState {
     fn default() -> Self {
         Self {
             news_at: Instant::default(),
             routers_reported: 0,
             differs_from: None,
             turn: 0,
-            records_left: RECORDS_AT_ONCE,
+            records_left: MAX_RECORD_BURST,
             refilled: Instant::default(),
         }
     }
 }
 
-impl Comparing {
+impl ComparisonState {
     pub(super) fn on_news(&mut self, now: Instant) {
         self.news_at = now;
     }
@@ -166,9 +166,9 @@
 
     /// Takes up to `wanted` records from the rate limit; returns how many may be sent now.
     fn take_records(&mut self, now: Instant, wanted: usize) -> usize {
-        let more = now.since(self.refilled).as_secs_f64() * RECORDS_A_SECOND;
+        let more = now.since(self.refilled).as_secs_f64() * MAX_RECORDS_PER_SECOND;
         self.refilled = now;
-        self.records_left = (self.records_left + more).min(RECORDS_AT_ONCE);
+        self.records_left = (self.records_left + more).min(MAX_RECORD_BURST);
         let taken = wanted.min(self.records_left as usize);
         self.records_left -= taken as f64;
         taken
@@ -189,14 +189,14 @@
     pub fn compare_pause(&self, now: Instant) -> Duration {
         let is_learning = !self.is_settled(now) || self.comparing.differs_from.is_some();
         match is_learning {
-            true => COMPARE_AT_FIRST,
-            false => COMPARE_EVERY,
+            true => COMPARE_INTERVAL_LEARNING,
+            false => COMPARE_INTERVAL,
         }
     }
 
     /// Whether the membership has not changed recently.
     pub fn is_settled(&self, now: Instant) -> bool {
-        now.since(self.comparing.news_at) >= SETTLED_AFTER
+        now.since(self.comparing.news_at) >= SETTLE_TIME
     }
 
     /// Returns the number of routers in the fleet, as known here or reported by a peer, whichever
@@ -213,8 +213,8 @@
             let known = self.heard.iter().find(|(_, p)| p.address == hub);
             return known.map(Receiver::of);
         }
-        let tries_gone = turn.is_multiple_of(TRY_GONE_EVERY);
-        let tries_far = turn % TRY_FAR_EVERY == 1;
+        let tries_gone = turn.is_multiple_of(COMPARISONS_PER_DOWN_PEER);
+        let tries_far = turn % COMPARISONS_PER_REMOTE_PEER == 1;
         let is_near = |p: &Peer| p.hall == self.hall || tries_far || tries_gone;
         let is_candidate =
             |p: &Peer| is_near(p) && self.is_alive(now, p) != tries_gone && !p.stopping;
@@ -276,11 +276,11 @@
 
     /// Returns recent changes, for the routers to which this one sends as a hub.
     pub fn changes(&self, now: Instant) -> Vec<MemberRecord> {
-        let is_recent = |p: &&Peer| now.since(p.changed_at) < CHANGE_SENT_FOR;
+        let is_recent = |p: &&Peer| now.since(p.changed_at) < CHANGE_REPEAT_TIME;
         let mut changed: Vec<(&VmId, &Peer)> =
             self.heard.iter().filter(|(_, p)| is_recent(p)).collect();
         changed.sort_unstable_by_key(|(_, p)| std::cmp::Reverse(p.changed_at));
-        changed.truncate(RECORDS_SENT);
+        changed.truncate(MAX_RECORDS_PER_DATAGRAM);
         let records = changed.into_iter();
         records.map(|(vm, p)| record(now, vm, p)).collect()
     }
@@ -304,16 +304,18 @@
         let known = self.heard.get_mut(&record.vm);
         match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
-                self.add(now, record, ago(heard_ms).before(REPORTED_OLDER), None)
+                self.add(now, record, ago(heard_ms).before(REPORTED_AGE_MARGIN), None)
             }
-            (None, RecordState::Gone { since_ms }) => {
+            (None, RecordState::Down { since_ms }) => {
                 let since = ago(since_ms);
                 self.add(now, record, since, Some(since))
             }
             (Some(peer), RecordState::Alive { heard_ms }) if peer.life() == record.life => {
-                let at = ago(heard_ms).before(REPORTED_OLDER);
+                let at = ago(heard_ms).before(REPORTED_AGE_MARGIN);
                 peer.reported_heard = peer.reported_heard.max(Some(at));
-                let is_back = peer.gone_at.is_some_and(|gone| at > gone + GONE_SLACK);
+                let is_back = peer
+                    .gone_at
+                    .is_some_and(|gone| at > gone + DOWN_REPORT_TOLERANCE);
                 let revived = is_back && !peer.stopping;
                 if revived {
                     peer.gone_at = None;
@@ -321,12 +323,12 @@
                 }
                 revived
             }
-            (Some(peer), RecordState::Gone { since_ms }) if peer.life() == record.life => {
+            (Some(peer), RecordState::Down { since_ms }) if peer.life() == record.life => {
                 let since = ago(since_ms);
                 // Where two halls cannot reach each other and a third reaches both, each takes the
                 // other's hubs for down.
                 let is_active = peer.is_direct() && now.since(peer.heard) < silent_after;
-                let is_older = peer.last_heartbeat() <= since + GONE_SLACK;
+                let is_older = peer.last_heartbeat() <= since + DOWN_REPORT_TOLERANCE;
                 let is_new = peer.gone_at.is_none() && is_older && !is_active;
                 if is_new {
                     peer.gone_at = Some(since);
@@ -355,7 +357,7 @@
         heard: Instant,
         gone_at: Option<Instant>,
     ) -> bool {
-        if now.since(heard) >= ADDRESS_KEPT {
+        if now.since(heard) >= ADDRESS_TTL {
             return false;
         }
         let peer = Peer::from_record(record, now, heard, gone_at);
@@ -376,7 +378,7 @@
         let differing = self.heard.iter().filter(|(vm, _)| differs(bucket(vm)));
         let mut records: Vec<MemberRecord> = differing.map(|(vm, p)| record(now, vm, p)).collect();
         records.sort_by_key(|r| from_first(&r.vm));
-        records.truncate(RECORDS_SENT - 1);
+        records.truncate(MAX_RECORDS_PER_DATAGRAM - 1);
         if differs(bucket(&self.me)) {
             records.insert(0, self.own_record());
         }
@@ -431,7 +433,7 @@
         address: peer.address,
         life: peer.life(),
         state: match peer.gone_at {
-            Some(at) => RecordState::Gone { since_ms: ms(at) },
+            Some(at) => RecordState::Down { since_ms: ms(at) },
             None => RecordState::Alive {
                 heard_ms: ms(peer.last_heartbeat()),
             },
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -12,7 +12,7 @@
     config::{routes::CallerRules, serving::CallerLimits},
     edge::{GatewayConfig, Rules},
     ids::{DataHall, Region, VmId},
-    membership::{datagram::Strength, readers::FleetStart},
+    membership::{datagram::CapacityClass, readers::FleetStart},
     retry::BudgetRule,
     units::{ByteCount, LoadBound},
 };
@@ -158,7 +158,10 @@
             vm: self.vm.clone(),
             region: Some(self.region.clone()),
             data_hall: self.data_hall.clone(),
-            strength: Strength::new(VM_LINK_MBPS_AND_CPU_SHARE.0, VM_LINK_MBPS_AND_CPU_SHARE.1),
+            strength: CapacityClass::new(
+                VM_LINK_MBPS_AND_CPU_SHARE.0,
+                VM_LINK_MBPS_AND_CPU_SHARE.1,
+            ),
             callers: self.listen,
             ready: None,
             metrics: self.metrics_listen.0.first().copied(),
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -10,7 +10,7 @@
 use scaleford::{
     ids::{Incarnation, VmId},
     membership::{
-        datagram::{Datagram, Stamp, Strength},
+        datagram::{CapacityClass, Datagram, Stamp},
         peers::Peers,
         readers::{FleetStart, NextRead, ReadState},
         records::{Exchange, MemberRecord, RecordState},
@@ -35,10 +35,10 @@
 }
 
 /// One in nineteen bears much, as the users' strong VMs do.
-fn strength(n: usize) -> Strength {
+fn strength(n: usize) -> CapacityClass {
     match n % 19 {
-        0 => Strength::new(200.0, 0.5),
-        _ => Strength::new(20.0, 0.12),
+        0 => CapacityClass::new(200.0, 0.5),
+        _ => CapacityClass::new(20.0, 0.12),
     }
 }
 
@@ -150,7 +150,7 @@
     for next in asked {
         if let NextRead::Ask(parent) = next {
             let parent_number = (0..985).find(|i| address(*i) == parent).unwrap();
-            assert_eq!(strength(parent_number), Strength::new(200.0, 0.5));
+            assert_eq!(strength(parent_number), CapacityClass::new(200.0, 0.5));
         }
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -12,10 +12,10 @@
 use scaleford::{
     ids::{DataHall, Incarnation, VmId},
     membership::{
-        datagram::{Datagram, Message, Stamp, Strength},
-        heartbeats::HubRolls,
-        pace::{Pace, QUIET_TIME, Telling, tell_every},
-        peers::{Heard, Peers},
+        datagram::{CapacityClass, Datagram, Message, Stamp},
+        heartbeats::HubDigests,
+        pace::{HEARTBEAT_INTERVAL, SendContent, SendSchedule, tell_every},
+        peers::{DatagramEffect, Peers},
         records::Exchange,
     },
     units::{Instant, StoreRevision},
@@ -103,7 +103,7 @@
 
     fn start(&mut self, i: usize, life: u64) {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
-        let strength = Strength::new(100.0, 0.5);
+        let strength = CapacityClass::new(100.0, 0.5);
         let hall = self.hall(i);
         let peers = Peers::new(vm(i), hall, strength, Incarnation(life), address(i), &seeds);
         let wait = Duration::from_millis(self.rng.random_range(0..300));
@@ -133,7 +133,7 @@
         Datagram {
             vm: vm(i),
             hall,
-            strength: Strength::new(100.0, 0.5),
+            strength: CapacityClass::new(100.0, 0.5),
             number: router.number,
             sent: Stamp {
                 life: Incarnation(router.life),
@@ -171,7 +171,7 @@
         let now = self.now;
         let mut told = self.datagram(i);
         let router = self.routers.get_mut(&i).unwrap();
-        let mut rolls = HubRolls::default();
+        let mut rolls = HubDigests::default();
         if router.peers.adds_up(now) {
             rolls = router.peers.hub_rolls(now, 0);
             let changes = router.peers.changes(now);
@@ -230,13 +230,13 @@
                 continue;
             };
             let heard = router.peers.on_datagram(now, address(from), &told);
-            if heard == Heard::Outdated {
+            if heard == DatagramEffect::Outdated {
                 continue;
             }
             router.peers.on_records(now, &told);
             let answer = router.peers.answer(now, &told);
             // A router that joins is answered at once.
-            if heard == Heard::Joined || answer.is_some() {
+            if heard == DatagramEffect::Joined || answer.is_some() {
                 let mut back = self.datagram(to);
                 back.exchange = answer;
                 self.send(to, address(from), &back);
@@ -256,7 +256,7 @@
         let every = match is_large && router.peers.adds_up(now) {
             true => tell_every(alive),
             // Those that have nothing to tell do so only as a heartbeat.
-            false => QUIET_TIME.max(tell_every(alive)),
+            false => HEARTBEAT_INTERVAL.max(tell_every(alive)),
         };
         let compares = now.since(router.compared) >= router.peers.compare_pause(now);
         if now.since(router.told) >= every {
@@ -483,12 +483,16 @@
     #[case] all_every_ms: u128,
     #[case] tellings: usize,
 ) {
-    let mut pace = Pace::default();
+    let mut pace = SendSchedule::default();
     for _ in 0..3 {
         let round: Vec<_> = (0..tellings).map(|_| pace.next(routers)).collect();
         let (last, before) = round.split_last().unwrap();
-        assert_eq!(last.1, Telling::All);
-        assert!(before.iter().all(|(_, telling)| *telling == Telling::Hints));
+        assert_eq!(last.1, SendContent::All);
+        assert!(
+            before
+                .iter()
+                .all(|(_, telling)| *telling == SendContent::Hints)
+        );
         let whole: Duration = round.iter().map(|(pause, _)| *pause).sum();
         assert_eq!(whole.as_millis(), all_every_ms);
         assert!(last.0 <= Duration::from_millis(120));
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -6,9 +6,9 @@
 use scaleford::{
     ids::{DataHall, Incarnation, VmId},
     membership::{
-        datagram::{Datagram, Stamp, Strength},
+        datagram::{CapacityClass, Datagram, Stamp},
         pace::tell_every,
-        peers::{Heard, Peers},
+        peers::{DatagramEffect, Peers},
         readers::{FleetStart, NextRead, ReadState},
     },
     units::{ConfigVersion, Instant, StoreRevision},
@@ -31,7 +31,7 @@
 }
 
 fn peers(me: usize) -> Peers {
-    let strength = Strength::new(100.0, 0.5);
+    let strength = CapacityClass::new(100.0, 0.5);
     Peers::new(vm(me), hall(me), strength, Incarnation(1), address(me), &[])
 }
 
@@ -39,7 +39,7 @@
     Datagram {
         vm: vm(from),
         hall: hall(from),
-        strength: Strength::new(100.0, 0.5),
+        strength: CapacityClass::new(100.0, 0.5),
         number,
         sent: Stamp {
             life: Incarnation(1),
@@ -65,7 +65,7 @@
     }
 }
 
-fn hear(peers: &mut Peers, now: Instant, told: &Datagram) -> Heard {
+fn hear(peers: &mut Peers, now: Instant, told: &Datagram) -> DatagramEffect {
     let from: usize = told.vm.as_str()[3..].parse().unwrap();
     peers.on_datagram(now, address(from), told)
 }
@@ -88,13 +88,19 @@
 #[test]
 fn a_peer_that_stops_does_not_join_again() {
     let mut seen = peers(0);
-    assert_eq!(hear(&mut seen, at(0), &datagram(1, 1)), Heard::Joined);
+    assert_eq!(
+        hear(&mut seen, at(0), &datagram(1, 1)),
+        DatagramEffect::Joined
+    );
     for number in 2..20 {
         let told = Datagram {
             stopping: true,
             ..datagram(1, number)
         };
-        assert_eq!(hear(&mut seen, at(number * 100), &told), Heard::Known);
+        assert_eq!(
+            hear(&mut seen, at(number * 100), &told),
+            DatagramEffect::Known
+        );
     }
     assert_eq!(seen.alive(at(2_000)), 1);
 }
@@ -105,11 +111,14 @@
     hear(&mut seen, at(0), &datagram(1, 9));
     let mut reborn = datagram(1, 1);
     reborn.sent.life = Incarnation(2);
-    assert_eq!(hear(&mut seen, at(10), &reborn), Heard::Joined);
-    assert_eq!(hear(&mut seen, at(20), &datagram(1, 10)), Heard::Outdated);
+    assert_eq!(hear(&mut seen, at(10), &reborn), DatagramEffect::Joined);
+    assert_eq!(
+        hear(&mut seen, at(20), &datagram(1, 10)),
+        DatagramEffect::Outdated
+    );
     assert_eq!(
         hear(&mut seen, at(30), &reborn),
-        Heard::Outdated,
+        DatagramEffect::Outdated,
         "twice the same"
     );
 }
@@ -299,8 +308,8 @@
 fn the_stronger_routers_read_the_store_and_add_up() {
     let n = 30;
     let strength = |i: usize| match i % 5 {
-        0 => Strength::new(200.0, 0.5),
-        _ => Strength::new(10.0, 0.12),
+        0 => CapacityClass::new(200.0, 0.5),
+        _ => CapacityClass::new(10.0, 0.12),
     };
     let fleet: Vec<Peers> = (0..n)
         .map(|me| {
@@ -362,14 +371,14 @@
     let mut reborn = datagram(1, 1);
     reborn.sent.life = Incarnation(5_000);
     // One of the old life's datagrams may still be on its way, so the new one waits a moment.
-    assert_eq!(hear(&mut seen, at(100), &reborn), Heard::Outdated);
+    assert_eq!(hear(&mut seen, at(100), &reborn), DatagramEffect::Outdated);
     reborn.number = 2;
-    assert_eq!(hear(&mut seen, at(1_100), &reborn), Heard::Joined);
+    assert_eq!(hear(&mut seen, at(1_100), &reborn), DatagramEffect::Joined);
     // A late datagram of the old life takes nothing back.
     old.number = 10;
-    assert_eq!(hear(&mut seen, at(1_200), &old), Heard::Outdated);
+    assert_eq!(hear(&mut seen, at(1_200), &old), DatagramEffect::Outdated);
     reborn.number = 3;
-    assert_eq!(hear(&mut seen, at(1_300), &reborn), Heard::Known);
+    assert_eq!(hear(&mut seen, at(1_300), &reborn), DatagramEffect::Known);
 }
 
 /// A router whose VM stood still for ten seconds took all its peers for dead when it went on, as it had heard of none: until their next
