--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -43,7 +43,7 @@
         return Ok(None);
     };
     let now = cx.now();
-    let routers = cx.peers.borrow().alive(now);
+    let routers = cx.peers.borrow().live_count(now);
     let mut limiters = cx.accounts.limiters.borrow_mut();
     let limiter = limiters
         .entry(account.clone())
@@ -64,7 +64,7 @@
         let keeper = cx
             .peers
             .borrow()
-            .keeper_of(now, &format!("account/{account}"));
+            .owner_of(now, &format!("account/{account}"));
         match keeper {
             Some(address) => {
                 let from = cx.cfg.vm.clone();
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -159,7 +159,7 @@
     }
     let is_keeper = |request: Fingerprint| {
         let peers = cx.peers.borrow();
-        peers.is_keeper_of(now, &request.to_string())
+        peers.is_owner_of(now, &request.to_string())
     };
     if (cx.dispatcher.borrow_mut().quarantine).mark_unsaved(is_keeper) {
         cx.endings.unsaved.notify_one();
--- a/src/edge/exchange.rs
+++ b/src/edge/exchange.rs
@@ -22,12 +22,12 @@
     loop {
         let (to, step) = {
             let mut peers = cx.peers.borrow_mut();
-            (peers.compare_with(cx.now()), peers.compare())
+            (peers.comparison_peer(cx.now()), peers.compare())
         };
         if let Some(to) = to {
             send(&cx, &udp, step, to.echo, to.address);
         }
-        let pause = cx.peers.borrow().compare_pause(cx.now());
+        let pause = cx.peers.borrow().compare_interval(cx.now());
         tokio::time::sleep(pause).await;
     }
 }
@@ -57,7 +57,7 @@
         .map(VmId::as_str)
         .collect();
     info!(cx.log, "peers joined"; "peers" => all_joined.len(), "first" => named.join(" "), "from" => %told.vm,
-        "alive" => cx.peers.borrow().alive(now));
+        "alive" => cx.peers.borrow().live_count(now));
     for vm in &all_joined {
         let address = cx.peers.borrow().address_of(vm);
         address
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -109,7 +109,7 @@
 /// Whether this router knows what the store holds: it reads it, or whoever it asks does.
 fn feeds(cx: &Gateway, now: Instant) -> bool {
     let age = cx.freshness.borrow().age(now);
-    let is_fed = cx.peers.borrow().is_fed(now);
+    let is_fed = cx.peers.borrow().uses_feeders(now);
     cx.reads_store() || (is_fed && age.is_some_and(|age| age < FEEDS_FOR))
 }
 
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -97,7 +97,7 @@
             None => PeerConn::open(reader).await,
         };
         let asked = self.cx.now();
-        let is_fed = self.cx.peers.borrow().is_fed(asked);
+        let is_fed = self.cx.peers.borrow().uses_feeders(asked);
         let told = match connected {
             Ok(upstream) => {
                 let after = self.cx.mirror.borrow().revision();
@@ -124,7 +124,7 @@
             Err(e) => {
                 self.upstream = None;
                 info!(self.cx.log, "reader does not answer"; "reader" => %reader, "why" => %e);
-                self.cx.peers.borrow_mut().on_had_nothing(now, reader);
+                self.cx.peers.borrow_mut().on_nothing_recent(now, reader);
                 tokio::time::sleep(ASK_AGAIN).await;
             }
         }
@@ -146,7 +146,7 @@
             MirrorReply::List(news) => take_news(cx, &news, true, reader),
             MirrorReply::Nothing => log_if_behind(cx, reader),
         }
-        let is_fed = cx.peers.borrow().is_fed(cx.now());
+        let is_fed = cx.peers.borrow().uses_feeders(cx.now());
         if let Some(proof) = proof.filter(|_| is_fed) {
             cx.freshness
                 .borrow_mut()
@@ -155,7 +155,7 @@
         let is_recent = proof.is_some_and(Proof::is_recent);
         if is_fed && !is_recent {
             info!(cx.log, "reader has nothing recent"; "reader" => %reader, "proof" => ?proof);
-            cx.peers.borrow_mut().on_had_nothing(cx.now(), reader);
+            cx.peers.borrow_mut().on_nothing_recent(cx.now(), reader);
         }
         let is_of_use = is_news || (is_fed && is_recent);
         if !is_of_use {
@@ -170,9 +170,9 @@
             tokio::time::sleep(OVERTAKEN_CHECK).await;
             let now = self.cx.now();
             let peers = self.cx.peers.borrow();
-            let ahead = peers.ahead(now, after).is_some();
+            let ahead = peers.peer_ahead_of(now, after).is_some();
             behind = if ahead { behind + 1 } else { 0 };
-            if behind >= 2 || peers.reader(now) != Some(reader) {
+            if behind >= 2 || peers.choose_reader(now) != Some(reader) {
                 return;
             }
         }
@@ -268,7 +268,7 @@
         let jitter = rand::rng().random_range(0.5..1.5);
         let pause = match cx.peers.borrow().is_reader(now) {
             true => self.backoff,
-            false => cx.peers.borrow().bystander_backoff(now),
+            false => cx.peers.borrow().non_reader_backoff(now),
         };
         self.retry_at = now + pause.mul_f64(jitter);
         self.backoff = (self.backoff * 2).min(LONGEST_BACKOFF);
@@ -278,7 +278,7 @@
 /// Logs that a reader which had nothing newer knows less than this router.
 fn log_if_behind(cx: &Gateway, reader: SocketAddr) {
     let known = cx.mirror.borrow().revision();
-    let theirs = cx.peers.borrow().mirror_of(reader);
+    let theirs = cx.peers.borrow().mirror_revision_of(reader);
     if let Some(theirs) = theirs.filter(|theirs| *theirs < known) {
         info!(cx.log, "reader is behind"; "reader" => %reader, "revision" => %theirs, "known" => %known);
     }
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -284,7 +284,7 @@
     /// This router's part of what the fleet may repeat.
     pub(crate) fn usable_share(&self, now: Instant) -> f64 {
         let window = self.rules.get().budget.window;
-        let share = self.peers.borrow().share(now, self.recent_calls.get());
+        let share = self.peers.borrow().call_share(now, self.recent_calls.get());
         let mut fleet_share = self.fleet_share.borrow_mut();
         fleet_share.on_share(now, share, window);
         fleet_share.usable(now, window)
@@ -304,7 +304,7 @@
 
     /// How many connections to one target this router may have, of `most` in all.
     pub(crate) fn conn_share(&self, most: u32) -> usize {
-        let routers = self.peers.borrow().alive(self.now());
+        let routers = self.peers.borrow().live_count(self.now());
         let share = (most as usize).saturating_mul(CONN_PART) / 100 / routers;
         share.max(CONN_LEAST)
     }
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -66,7 +66,7 @@
     };
     let mut pace = SendSchedule::default();
     loop {
-        let routers = cx.peers.borrow().alive(cx.now()) as u32;
+        let routers = cx.peers.borrow().live_count(cx.now()) as u32;
         let (pause, telling) = pace.next(routers);
         tokio::time::sleep(pause).await;
         let now = cx.now();
@@ -89,7 +89,7 @@
         let is_large = {
             let peers = cx.peers.borrow();
             let is_large = peers.is_large(now);
-            cx.adds_up.set(is_large && peers.adds_up(now));
+            cx.adds_up.set(is_large && peers.is_aggregator(now));
             is_large
         };
         let changed = cx.dispatcher.borrow_mut().load.take_changed();
@@ -117,7 +117,7 @@
     let mut told = datagram(cx, news_of_prompts(cx));
     told.load = (!is_large).then(|| cx.dispatcher.borrow_mut().load.own_counts());
     told.rates = rates.to_vec();
-    for to in cx.peers.borrow().everyone() {
+    for to in cx.peers.borrow().all_receivers() {
         told.echo = to.echo;
         send_to(cx, udp, &told, to.address);
     }
@@ -131,15 +131,15 @@
     let (sums, rolls) = match cx.adds_up.get() {
         true => {
             let mut peers = cx.peers.borrow_mut();
-            let changes = peers.changes(now);
+            let changes = peers.recent_changes(now);
             told.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
-            let rolls = peers.hub_rolls(now, cx.recent_calls.get());
+            let rolls = peers.hub_digests(now, cx.recent_calls.get());
             (Sums::of_halls(cx), rolls)
         }
         false => (Sums::default(), HubDigests::default()),
     };
     told.load = Some(cx.dispatcher.borrow_mut().load.own_counts());
-    for to in cx.peers.borrow().close_ones(now) {
+    for to in cx.peers.borrow().frequent_receivers(now) {
         told.echo = to.echo;
         let is_near = to.hall.as_ref() == Some(&cx.cfg.data_hall);
         let (halls, rolls, of_halls) = match is_near {
@@ -162,7 +162,7 @@
         return;
     }
     let mut told = datagram(cx, hints);
-    for to in cx.peers.borrow().close_ones(cx.now()) {
+    for to in cx.peers.borrow().frequent_receivers(cx.now()) {
         told.echo = to.echo;
         send_to(cx, udp, &told, to.address);
     }
@@ -184,7 +184,7 @@
 /// Tells a peer that joined all parts of prompts that are known to be read, if that is this router's to do.
 pub(super) fn teach(cx: &Gateway, udp: &UdpSocket, joined: &VmId, address: SocketAddr) {
     let now = cx.now();
-    if now.0 < TEACHES_AFTER || !cx.peers.borrow_mut().take_teaching(now, joined) {
+    if now.0 < TEACHES_AFTER || !cx.peers.borrow_mut().take_sync_duty(now, joined) {
         return;
     }
     info!(cx.log, "prompts sent to peer"; "peer" => %joined);
@@ -301,7 +301,7 @@
         send_to(cx, udp, &welcome, from);
     }
     exchange::on_datagram(cx, udp, from, &told, joined);
-    if let Some(vouch) = cx.peers.borrow().vouch(&told) {
+    if let Some(vouch) = cx.peers.borrow().config_confirmation(&told) {
         cx.freshness.borrow_mut().on_peer_confirmation(vouch);
     }
     endings::on_peer(cx, now, &told.endings, &told.held);
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -119,11 +119,11 @@
         }
         cx.peers.borrow_mut().on_tick(now);
         cx.usable_share(now);
-        let routers = cx.peers.borrow().hashes(now);
+        let routers = cx.peers.borrow().live_hashes(now);
         cx.dispatcher.borrow_mut().cold.set_routers(routers);
         cx.conns.on_tick(now);
-        let alive = cx.peers.borrow().alive(now);
-        let size = cx.peers.borrow().size();
+        let alive = cx.peers.borrow().live_count(now);
+        let size = cx.peers.borrow().fleet_size();
         cx.dispatcher.borrow_mut().load.set_fleet_size(size);
         cx.metrics.peers_alive.set(alive as i64);
         let age = cx.freshness.borrow().age(now);
--- a/src/edge/once.rs
+++ b/src/edge/once.rs
@@ -151,7 +151,7 @@
 /// Asks the keeper of a claim's shard; where it is not reached, this router writes itself.
 async fn take_step(cx: &Rc<Gateway>, step: ClaimStep) -> ClaimVerdict {
     let shard = format!("claims/{}", step.key.shard());
-    let keeper = cx.peers.borrow().keeper_of(cx.now(), &shard);
+    let keeper = cx.peers.borrow().owner_of(cx.now(), &shard);
     if let Some(address) = keeper {
         match peer_calls::claim(cx, address, step).await {
             Ok(verdict) => return verdict,
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -73,7 +73,7 @@
 pub(super) async fn save(cx: Rc<Gateway>) {
     loop {
         tokio::time::sleep(SAVE_EVERY).await;
-        let is_keeper = cx.peers.borrow().is_keeper_of(cx.now(), "prompts");
+        let is_keeper = cx.peers.borrow().is_owner_of(cx.now(), "prompts");
         let changed = cx.dispatcher.borrow_mut().cache.take_unsaved();
         if !is_keeper || !changed {
             continue;
@@ -112,7 +112,7 @@
         let jitter = rand::rng().random_range(0.5..1.0);
         tokio::time::sleep(pause.mul_f64(jitter)).await;
         pause = ANNOUNCE_EVERY;
-        if cx.peers.borrow().alive(cx.now()) > 1 {
+        if cx.peers.borrow().live_count(cx.now()) > 1 {
             continue;
         }
         cx.metrics.on_store_call("announce");
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the class of half the capacity.
-    pub fn half(self) -> Self {
+    pub fn halved(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -46,8 +46,8 @@
 
 impl Peers {
     /// Whether feeders stand between the readers and the other routers.
-    pub fn is_fed(&self, now: Instant) -> bool {
-        self.alive(now) >= MIN_FLEET_WITH_FEEDERS
+    pub fn uses_feeders(&self, now: Instant) -> bool {
+        self.live_count(now) >= MIN_FLEET_WITH_FEEDERS
     }
 
     /// Whether this router feeds others of its data hall.
@@ -56,14 +56,14 @@
     }
 
     /// Records that the router at `asked` had nothing recent or did not answer.
-    pub fn on_had_nothing(&mut self, now: Instant, asked: SocketAddr) {
+    pub fn on_nothing_recent(&mut self, now: Instant, asked: SocketAddr) {
         self.had_nothing
             .retain(|_, at| now.since(*at) < PARENT_RETRY_INTERVAL);
         self.had_nothing.insert(asked, now);
     }
 
     /// Returns where a router of a large fleet reads next.
-    pub(super) fn next_of_fed(&self, now: Instant, state: &ReadState) -> NextRead {
+    pub(super) fn next_read_via_feeders(&self, now: Instant, state: &ReadState) -> NextRead {
         let reads_store = self.is_reader(now) && !state.store_lost;
         let parent = self.parent(now).filter(|_| !reads_store);
         let max_wait = match self.is_feeder(now) {
@@ -84,7 +84,7 @@
     /// reader. The other group is the fallback while these have nothing recent.
     fn parent(&self, now: Instant) -> Option<SocketAddr> {
         let me = self.me.as_str();
-        let readers = owners(me, self.named(now).into_iter(), usize::MAX);
+        let readers = owners(me, self.designated_readers(now).into_iter(), usize::MAX);
         let feeders = self.feeders_of(now, &self.hall);
         let feeders = owners(me, feeders.into_iter(), usize::MAX);
         let candidates = match feeders.contains(&&self.me) || readers.contains(&&self.me) {
@@ -102,13 +102,13 @@
     /// Returns the feeders of a data hall: its routers of higher capacity, and others if these are
     /// too few.
     fn feeders_of(&self, now: Instant, hall: &DataHall) -> Vec<&VmId> {
-        let others = self.living_named(now).filter(|(_, p)| p.hall == *hall);
+        let others = self.live_members(now).filter(|(_, p)| p.hall == *hall);
         let others = others.map(|(vm, p)| (vm, p.strength));
         let me = (*hall == self.hall).then_some((&self.me, self.strength));
         let here: Vec<_> = others.chain(me).collect();
         let wanted = here.len().div_ceil(ROUTERS_PER_FEEDER);
         let strongest = here.iter().map(|(_, strength)| *strength).max();
-        let minimum = strongest.unwrap_or_default().half();
+        let minimum = strongest.unwrap_or_default().halved();
         let (strong, weak): (Vec<_>, Vec<_>) = here.into_iter().partition(|r| r.1 >= minimum);
         let select = |routers: Vec<(_, _)>, n| {
             let names = routers.into_iter().map(|(vm, _)| vm);
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -88,13 +88,13 @@
 impl Peers {
     /// Returns how long a silent router counts as alive where hubs report failures, if there is no
     /// report about it.
-    pub(super) fn unconfirmed_after(&self) -> Duration {
-        pace::silent_after(self.size()) * UNCONFIRMED_FACTOR
+    pub(super) fn unconfirmed_timeout(&self) -> Duration {
+        pace::silent_after(self.fleet_size()) * UNCONFIRMED_FACTOR
     }
 
     /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
     /// seconds.
-    pub fn hub_rolls(&mut self, now: Instant, own_calls: u32) -> HubDigests {
+    pub fn hub_digests(&mut self, now: Instant, own_calls: u32) -> HubDigests {
         let near = self.heard.values().filter(|p| p.hall == self.hall);
         let calls = near.map(|p| p.calls).sum::<u32>() + own_calls;
         let own = KnownDigest {
@@ -123,7 +123,7 @@
     }
 
     /// Applies rolls from a hub, of its own data hall or of others.
-    pub(super) fn on_rolls(&mut self, now: Instant, from: &VmId, rolls: &[MemberDigest]) {
+    pub(super) fn on_member_digests(&mut self, now: Instant, from: &VmId, rolls: &[MemberDigest]) {
         for received in rolls {
             let at = now.before(Duration::from_millis(u64::from(received.age_ms)));
             if self.rolls.get(&received.hall).is_some_and(|r| r.at >= at) {
@@ -133,7 +133,7 @@
             let roll = KnownDigest { at, digest, calls };
             self.rolls.insert(received.hall.clone(), roll);
             match self.hall_digest(&received.hall) == received.digest {
-                true => self.confirm(&received.hall, at),
+                true => self.confirm_alive(&received.hall, at),
                 false => {
                     let from = self.heard.get(from).map(|p| p.address);
                     from.into_iter()
@@ -144,7 +144,7 @@
     }
 
     /// Records that all routers that count as alive in a data hall sent a heartbeat.
-    fn confirm(&mut self, hall: &DataHall, at: Instant) {
+    fn confirm_alive(&mut self, hall: &DataHall, at: Instant) {
         let here = self.heard.values_mut().filter(|p| p.hall == *hall);
         for peer in here.filter(|p| p.gone_at.is_none()) {
             peer.reported_heard = peer.reported_heard.max(Some(at));
@@ -153,12 +153,12 @@
 
     fn hall_digest(&self, hall: &DataHall) -> u64 {
         let is_here = |vm: &VmId| self.heard.get(vm).map_or(&self.hall, |p| &p.hall) == hall;
-        let here = self.counted().filter(|(vm, _)| is_here(vm));
+        let here = self.digest_members().filter(|(vm, _)| is_here(vm));
         here.fold(0, |all, (vm, life)| all ^ life_hash(vm, life))
     }
 
     fn is_fresh(&self, now: Instant, roll: &KnownDigest) -> bool {
-        now.since(roll.at) < self.unconfirmed_after()
+        now.since(roll.at) < self.unconfirmed_timeout()
     }
 
     /// Returns the number of calls that other routers accepted in the last seconds.
@@ -172,24 +172,24 @@
         } else {
             0
         };
-        let unreported = self.living(now).filter(|p| !has_fresh_roll(&p.hall));
+        let unreported = self.live_peers(now).filter(|p| !has_fresh_roll(&p.hall));
         reported.saturating_sub(own_reported) + unreported.map(|p| p.calls).sum::<u32>()
     }
 
     /// Reports monitored routers as down once they have been silent for too long.
-    pub(super) fn observe(&mut self, now: Instant) {
+    pub(super) fn detect_failures(&mut self, now: Instant) {
         if !self.is_large(now) {
             self.observing_since = None;
             return;
         }
         let since = *self.observing_since.get_or_insert(now);
-        let silent_after = pace::silent_after(self.size());
+        let silent_after = pace::silent_after(self.fleet_size());
         let watched: Vec<VmId> = {
-            let mut watched = self.watched(now);
+            let mut watched = self.monitored(now);
             watched.retain(|vm| {
                 self.heard.get(vm).is_some_and(|p| {
                     let heard = p.heard.max(since).max(p.watched_since.unwrap_or(now));
-                    now.since(heard) >= silent_after.mul_f64(self.patience(now, p))
+                    now.since(heard) >= silent_after.mul_f64(self.silence_factor(now, p))
                 })
             });
             watched
@@ -200,22 +200,22 @@
             }
             self.on_change(now, &vm);
         }
-        self.note_watched(now);
+        self.update_monitored(now);
     }
 
     /// Returns the factor on the silence limit of a router that this one monitors.
-    fn patience(&self, now: Instant, peer: &Peer) -> f64 {
-        let is_new = now.since(peer.changed_at) < self.unconfirmed_after();
+    fn silence_factor(&self, now: Instant, peer: &Peer) -> f64 {
+        let is_new = now.since(peer.changed_at) < self.unconfirmed_timeout();
         match () {
-            () if is_new && !peer.is_direct() => NEW_PEER_FACTOR,
+            () if is_new && !peer.has_sent() => NEW_PEER_FACTOR,
             () if Some(peer.heard) < peer.watched_since => NEWLY_MONITORED_FACTOR,
             () => 1.0,
         }
     }
 
     /// Records since when this router monitors each other one.
-    fn note_watched(&mut self, now: Instant) {
-        let watched = self.watched(now);
+    fn update_monitored(&mut self, now: Instant) {
+        let watched = self.monitored(now);
         for (vm, peer) in &mut self.heard {
             peer.watched_since = match watched.binary_search(vm) {
                 Ok(_) => peer.watched_since.or(Some(now)),
@@ -230,7 +230,7 @@
     /// sums. A router that aggregates also monitors the first hub of each other data hall, which
     /// sends it that hall's sums. A second hub sends to other hubs only while the first one is
     /// silent.
-    fn watched(&self, now: Instant) -> Vec<VmId> {
+    fn monitored(&self, now: Instant) -> Vec<VmId> {
         let own_hubs = self.hubs_of(now, &self.hall);
         let mut watched: Vec<VmId> = match own_hubs.contains(&self.me) {
             true => {
@@ -240,13 +240,13 @@
             false => {
                 let first_is_up = own_hubs
                     .first()
-                    .is_some_and(|hub| !self.is_silent(now, hub));
+                    .is_some_and(|hub| !self.is_hub_silent(now, hub));
                 let senders = if first_is_up { 1 } else { own_hubs.len() };
                 own_hubs.into_iter().take(senders).collect()
             }
         };
-        if self.adds_up(now) {
-            watched.extend(self.first_far_hubs(now));
+        if self.is_aggregator(now) {
+            watched.extend(self.remote_first_hubs(now));
         }
         // Includes routers that only this one takes for dead: its roll covers all that no hub
         // reported as down.
@@ -262,11 +262,11 @@
     ///
     /// Otherwise it would take the whole fleet's retry budget for itself until the next datagrams
     /// arrive (1 of 7 routers alive, `tests/peers.rs`).
-    pub(super) fn excuse_silence(&mut self, before: Instant, now: Instant) {
+    pub(super) fn reset_after_stall(&mut self, before: Instant, now: Instant) {
         if now.since(before) < MIN_STALL {
             return;
         }
-        let were_alive: Vec<VmId> = self.names(before).cloned().collect();
+        let were_alive: Vec<VmId> = self.live_names(before).cloned().collect();
         for vm in were_alive {
             if let Some(peer) = self.heard.get_mut(&vm) {
                 peer.heard = now.before(before.since(peer.last_heartbeat()));
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -34,7 +34,7 @@
 
 impl HubTable {
     /// Invalidates the list, since a router joined or left.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn invalidate(&mut self) {
         self.at = None;
     }
 
@@ -47,31 +47,31 @@
 impl Peers {
     /// Whether counts go through hubs.
     pub fn is_large(&self, now: Instant) -> bool {
-        self.alive(now) >= MIN_LARGE_FLEET
+        self.live_count(now) >= MIN_LARGE_FLEET
     }
 
     /// Returns the peers that receive counts as they change.
     ///
     /// These are the hubs of the own data hall; for the router that aggregates, they are the
     /// routers of its data hall and the aggregating hubs of the others.
-    pub fn close_ones(&self, now: Instant) -> Vec<Receiver> {
-        if !self.adds_up(now) {
+    pub fn frequent_receivers(&self, now: Instant) -> Vec<Receiver> {
+        if !self.is_aggregator(now) {
             let hubs = self.hubs_of(now, &self.hall).into_iter();
             return hubs.filter_map(|vm| self.receiver(&vm)).collect();
         }
-        let near = self.living_named(now).filter(|(_, p)| p.hall == self.hall);
+        let near = self.live_members(now).filter(|(_, p)| p.hall == self.hall);
         let near = near.map(Receiver::of);
-        let far = self.far_hubs(now).into_iter();
+        let far = self.remote_aggregators(now).into_iter();
         near.chain(far.filter_map(|vm| self.receiver(&vm)))
             .collect()
     }
 
     /// Whether this router aggregates the counts of its data hall: the first hub does, or the
     /// second one while the first is silent.
-    pub fn adds_up(&self, now: Instant) -> bool {
+    pub fn is_aggregator(&self, now: Instant) -> bool {
         match self.hubs_of(now, &self.hall).as_slice() {
             [first, ..] if *first == self.me => true,
-            [first, second, ..] if *second == self.me => self.is_silent(now, first),
+            [first, second, ..] if *second == self.me => self.is_hub_silent(now, first),
             _ => false,
         }
     }
@@ -80,8 +80,8 @@
         self.heard.get_key_value(vm).map(Receiver::of)
     }
 
-    pub(super) fn is_silent(&self, now: Instant, hub: &VmId) -> bool {
-        let silent_after = pace::hub_silent_after(self.size());
+    pub(super) fn is_hub_silent(&self, now: Instant, hub: &VmId) -> bool {
+        let silent_after = pace::hub_timeout(self.fleet_size());
         let peer = self.heard.get(hub);
         peer.is_none_or(|p| now.since(p.heard) >= silent_after)
     }
@@ -90,7 +90,7 @@
     ///
     /// Candidates have at least half the capacity of the strongest router, unless fewer than `n`
     /// have.
-    pub(super) fn strong_keepers<'a>(
+    pub(super) fn keepers_by_capacity<'a>(
         key: &str,
         routers: impl Iterator<Item = (&'a VmId, CapacityClass)>,
         n: usize,
@@ -100,25 +100,30 @@
         strengths.sort_unstable_by(|a, b| b.cmp(a));
         let strongest = strengths.first().copied().unwrap_or_default();
         let nth = strengths.get(n.saturating_sub(1)).copied();
-        let minimum = strongest.half().min(nth.unwrap_or_default());
+        let minimum = strongest.halved().min(nth.unwrap_or_default());
         all.retain(|(_, strength)| *strength >= minimum);
         owners(key, all.into_iter().map(|(vm, _)| vm), n)
     }
 
     /// Returns all live routers with their capacity class, this one included.
-    pub(super) fn strengths(&self, now: Instant) -> impl Iterator<Item = (&VmId, CapacityClass)> {
-        let others = self.living_named(now).map(|(vm, p)| (vm, p.strength));
+    pub(super) fn live_capacities(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (&VmId, CapacityClass)> {
+        let others = self.live_members(now).map(|(vm, p)| (vm, p.strength));
         others.chain(std::iter::once((&self.me, self.strength)))
     }
 
     /// Returns the hubs that aggregate for the other data halls: the first one of each, and the
     /// second one as well while the first is silent.
-    pub(super) fn far_hubs(&self, now: Instant) -> Vec<VmId> {
-        self.name_hubs(now);
+    pub(super) fn remote_aggregators(&self, now: Instant) -> Vec<VmId> {
+        self.refresh_hub_table(now);
         let table = self.hubs.borrow();
         let others = table.hubs.iter().filter(|(hall, _)| **hall != self.hall);
         let aggregators = |(_, hubs): (_, &Vec<VmId>)| {
-            let first_is_up = hubs.first().is_some_and(|hub| !self.is_silent(now, hub));
+            let first_is_up = hubs
+                .first()
+                .is_some_and(|hub| !self.is_hub_silent(now, hub));
             let aggregators = hubs
                 .iter()
                 .take(if first_is_up { 1 } else { HUBS_PER_HALL });
@@ -128,8 +133,8 @@
     }
 
     /// Returns the first hub of each other data hall.
-    pub(super) fn first_far_hubs(&self, now: Instant) -> Vec<VmId> {
-        self.name_hubs(now);
+    pub(super) fn remote_first_hubs(&self, now: Instant) -> Vec<VmId> {
+        self.refresh_hub_table(now);
         let table = self.hubs.borrow();
         let others = table.hubs.iter().filter(|(hall, _)| **hall != self.hall);
         others
@@ -138,19 +143,19 @@
     }
 
     pub(super) fn hubs_of(&self, now: Instant, hall: &DataHall) -> Vec<VmId> {
-        self.name_hubs(now);
+        self.refresh_hub_table(now);
         let table = self.hubs.borrow();
         table.hubs.get(hall).cloned().unwrap_or_default()
     }
 
     /// Recomputes the list of hubs unless the cached one is recent.
-    fn name_hubs(&self, now: Instant) {
+    fn refresh_hub_table(&self, now: Instant) {
         let mut table = self.hubs.borrow_mut();
         if table.is_fresh(now) {
             return;
         }
         let mut halls: BTreeMap<&DataHall, Vec<(&VmId, CapacityClass)>> = BTreeMap::new();
-        for (vm, peer) in self.living_named(now) {
+        for (vm, peer) in self.live_members(now) {
             halls
                 .entry(&peer.hall)
                 .or_default()
@@ -161,7 +166,7 @@
             .or_default()
             .push((&self.me, self.strength));
         let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, CapacityClass)>)| {
-            let hubs = Self::strong_keepers("hub", routers.into_iter(), HUBS_PER_HALL);
+            let hubs = Self::keepers_by_capacity("hub", routers.into_iter(), HUBS_PER_HALL);
             (hall.clone(), hubs.into_iter().cloned().collect())
         };
         table.hubs = halls.into_iter().map(hubs).collect();
--- a/src/membership/pace.rs
+++ b/src/membership/pace.rs
@@ -53,15 +53,15 @@
 
 /// Returns the interval at which a router sends changes to its hubs, and a hub to its data hall, in
 /// a fleet of `routers`.
-pub fn tell_every(routers: usize) -> Duration {
+pub fn send_interval(routers: usize) -> Duration {
     let routers = u32::try_from(routers).unwrap_or(u32::MAX);
     let paced = SEND_INTERVAL_PER_ROUTER.saturating_mul(routers);
     paced.clamp(MIN_SEND_INTERVAL, MAX_SEND_INTERVAL)
 }
 
 /// Returns the longest interval between two datagrams of a router to its hubs.
-fn heartbeat_every(routers: usize) -> Duration {
-    let interval = tell_every(routers);
+fn max_heartbeat_interval(routers: usize) -> Duration {
+    let interval = send_interval(routers);
     let intervals = HEARTBEAT_INTERVAL
         .div_duration_f64(interval)
         .ceil()
@@ -71,18 +71,18 @@
 
 /// Returns how long a router may be silent to those that monitor it.
 pub fn silent_after(routers: usize) -> Duration {
-    MIN_FAILURE_TIMEOUT.max(heartbeat_every(routers) * MAX_MISSED_HEARTBEATS)
+    MIN_FAILURE_TIMEOUT.max(max_heartbeat_interval(routers) * MAX_MISSED_HEARTBEATS)
 }
 
 /// Returns how long a hub may be silent before the second one replaces it.
-pub fn hub_silent_after(routers: usize) -> Duration {
-    MIN_HUB_TIMEOUT.max(tell_every(routers) * MAX_MISSED_SUMS)
+pub fn hub_timeout(routers: usize) -> Duration {
+    MIN_HUB_TIMEOUT.max(send_interval(routers) * MAX_MISSED_SUMS)
 }
 
 /// Returns how long a data hall's sum is valid.
-pub fn sum_expires(routers: usize) -> Duration {
-    let awaited = tell_every(routers) * SUMS_AWAITED_AFTER_FAILOVER;
-    MIN_SUM_TTL.max(hub_silent_after(routers) + awaited)
+pub fn sum_ttl(routers: usize) -> Duration {
+    let awaited = send_interval(routers) * SUMS_AWAITED_AFTER_FAILOVER;
+    MIN_SUM_TTL.max(hub_timeout(routers) + awaited)
 }
 
 /// Content that a router sends at the end of an interval.
@@ -104,7 +104,7 @@
 impl SendSchedule {
     /// Returns the interval to the next send in a fleet of `routers`, and what is sent at its end.
     pub fn next(&mut self, routers: u32) -> (Duration, SendContent) {
-        let full_interval = tell_every(routers as usize);
+        let full_interval = send_interval(routers as usize);
         let parts = full_interval
             .div_duration_f64(MIN_SEND_INTERVAL)
             .round()
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -70,10 +70,10 @@
         datagram: &Datagram,
         before: Option<&Self>,
     ) -> Self {
-        let same_life = before.filter(|p| p.life() == datagram.sent.life);
+        let same_life = before.filter(|p| p.incarnation() == datagram.sent.life);
         let former_life = match same_life {
             Some(p) => p.former_life,
-            None => before.map(Self::life),
+            None => before.map(Self::incarnation),
         };
         Self {
             address: from,
@@ -132,12 +132,12 @@
     }
 
     /// Returns the known incarnation.
-    pub(super) fn life(&self) -> Incarnation {
+    pub(super) fn incarnation(&self) -> Incarnation {
         self.stamp.life
     }
 
     /// Whether the router itself has sent a datagram.
-    pub(super) fn is_direct(&self) -> bool {
+    pub(super) fn has_sent(&self) -> bool {
         self.number > 0
     }
 
@@ -145,16 +145,16 @@
     ///
     /// Incarnations are numbered by the time of day, which may have been set back: a lower number
     /// is accepted once the known incarnation is silent.
-    pub(super) fn is_of_the_past(&self, now: Instant, other: Incarnation) -> bool {
+    pub(super) fn is_outdated(&self, now: Instant, other: Incarnation) -> bool {
         let is_active = now.since(self.heard) < INCARNATION_TIMEOUT;
-        self.former_life == Some(other) || (self.life() > other && is_active)
+        self.former_life == Some(other) || (self.incarnation() > other && is_active)
     }
 
     /// Whether `life`, an incarnation that others report, may be a later one than the known one.
     ///
     /// One with a lower number is accepted only from the router's own datagrams.
-    pub(super) fn may_be_followed_by(&self, other: Incarnation) -> bool {
-        self.former_life != Some(other) && other > self.life()
+    pub(super) fn may_be_succeeded_by(&self, other: Incarnation) -> bool {
+        self.former_life != Some(other) && other > self.incarnation()
     }
 
     /// Returns the time of its last heartbeat, received directly or reported.
@@ -207,7 +207,7 @@
             vm: Some(vm.clone()),
             hall: Some(peer.hall.clone()),
             address: peer.address,
-            echo: peer.is_direct().then_some(peer.stamp),
+            echo: peer.has_sent().then_some(peer.stamp),
         }
     }
 }
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -126,16 +126,16 @@
             return DatagramEffect::Outdated;
         }
         let before = self.heard.get(&datagram.vm);
-        let was_alive = before.is_some_and(|p| p.lives(now, self.silence()));
+        let was_alive = before.is_some_and(|p| p.lives(now, self.silence_limits()));
         let heard = match before {
-            Some(p) if p.life() == datagram.sent.life && p.number >= datagram.number => {
+            Some(p) if p.incarnation() == datagram.sent.life && p.number >= datagram.number => {
                 return DatagramEffect::Outdated;
             }
-            Some(p) if p.is_of_the_past(now, datagram.sent.life) => {
+            Some(p) if p.is_outdated(now, datagram.sent.life) => {
                 return DatagramEffect::Outdated;
             }
             // A peer that stops is still the same incarnation, and needs no data.
-            Some(p) if p.life() == datagram.sent.life && (was_alive || p.stopping) => {
+            Some(p) if p.incarnation() == datagram.sent.life && (was_alive || p.stopping) => {
                 DatagramEffect::Known
             }
             _ if datagram.stopping => DatagramEffect::Known,
@@ -148,7 +148,7 @@
             self.on_change(now, &datagram.vm);
         }
         self.on_store_readers(now, &datagram.readers);
-        self.on_rolls(now, &datagram.vm, &datagram.rolls);
+        self.on_member_digests(now, &datagram.vm, &datagram.rolls);
         self.unheard.remove(&from);
         heard
     }
@@ -159,12 +159,12 @@
         for peer in self.heard.values_mut().filter(|p| p.address == address) {
             peer.unreachable_at = Some(now);
         }
-        self.hubs.borrow_mut().forget();
+        self.hubs.borrow_mut().invalidate();
     }
 
     /// Returns the confirmation of the configuration in a datagram, if it answers one of this
     /// incarnation.
-    pub fn vouch(&self, datagram: &Datagram) -> Option<PeerConfirmation> {
+    pub fn config_confirmation(&self, datagram: &Datagram) -> Option<PeerConfirmation> {
         let echo = datagram.echo.filter(|stamp| stamp.life == self.life)?;
         let (version, age_ms) = datagram.config?;
         Some(PeerConfirmation {
@@ -175,7 +175,7 @@
     }
 
     /// Returns all known peers and all addresses where one may be.
-    pub fn everyone(&self) -> Vec<Receiver> {
+    pub fn all_receivers(&self) -> Vec<Receiver> {
         let heard = self.heard.iter().map(Receiver::of);
         let unheard = self.unheard.keys().map(|address| Receiver::at(*address));
         heard.chain(unheard).collect()
@@ -184,29 +184,29 @@
     /// Detects failures, and removes peers and addresses that have been silent for too long.
     pub fn on_tick(&mut self, now: Instant) {
         let before = self.ticked.replace(now).unwrap_or(now);
-        self.excuse_silence(before, now);
-        self.observe(now);
+        self.reset_after_stall(before, now);
+        self.detect_failures(now);
         let keep = |since: Instant| now.since(since) < ADDRESS_TTL;
         self.heard.retain(|_, p| keep(p.last_heartbeat()));
         self.unheard.retain(|_, since| keep(*since));
     }
 
     /// Whether this router is one of the few that send a peer that joined the state of the fleet.
-    pub fn is_teacher_of(&self, now: Instant, joined: &VmId) -> bool {
-        let others = self.names(now).filter(|vm| *vm != joined);
+    pub fn is_sync_sender_for(&self, now: Instant, joined: &VmId) -> bool {
+        let others = self.live_names(now).filter(|vm| *vm != joined);
         owners(joined.as_str(), others, SYNC_SENDERS).contains(&&self.me)
     }
 
     /// Whether this router has to send a peer that joined what it missed; if so, records that it
     /// does.
-    pub fn take_teaching(&mut self, now: Instant, joined: &VmId) -> bool {
+    pub fn take_sync_duty(&mut self, now: Instant, joined: &VmId) -> bool {
         self.taught
             .retain(|_, (_, at)| now.since(*at) < MIN_SYNC_INTERVAL);
-        let Some(life) = self.heard.get(joined).map(Peer::life) else {
+        let Some(life) = self.heard.get(joined).map(Peer::incarnation) else {
             return false;
         };
         let was_sent = self.taught.get(joined).is_some_and(|(l, _)| *l == life);
-        let is_due = !was_sent && self.is_teacher_of(now, joined);
+        let is_due = !was_sent && self.is_sync_sender_for(now, joined);
         if is_due {
             self.taught.insert(joined.clone(), (life, now));
         }
@@ -214,19 +214,19 @@
     }
 
     /// Whether this router is the keeper of `thing` for the fleet.
-    pub fn is_keeper_of(&self, now: Instant, key: &str) -> bool {
-        self.keeper_of(now, key).is_none()
+    pub fn is_owner_of(&self, now: Instant, key: &str) -> bool {
+        self.owner_of(now, key).is_none()
     }
 
     /// Returns the address of the router that is the keeper of `thing`; `None` if it is this one.
-    pub fn keeper_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
-        let keeper = owner(key, self.names(now))?;
+    pub fn owner_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
+        let keeper = owner(key, self.live_names(now))?;
         self.heard.get(keeper).map(|p| p.address)
     }
 
     /// Returns all other known routers, each with its data hall and state.
     pub fn members(&self, now: Instant) -> Vec<Member> {
-        let silence = self.silence();
+        let silence = self.silence_limits();
         let member = |(vm, p): (&VmId, &Peer)| Member {
             vm: vm.clone(),
             data_hall: p.hall.clone(),
@@ -242,7 +242,7 @@
 
     /// Returns the addresses of the other live routers.
     pub fn addresses(&self, now: Instant) -> Vec<SocketAddr> {
-        self.living(now).map(|p| p.address).collect()
+        self.live_peers(now).map(|p| p.address).collect()
     }
 
     /// Returns the address of a router.
@@ -251,29 +251,29 @@
     }
 
     /// Returns the names of all live routers, this one included.
-    pub(super) fn names(&self, now: Instant) -> impl Iterator<Item = &VmId> {
-        let living = self.living_named(now).map(|(vm, _)| vm);
+    pub(super) fn live_names(&self, now: Instant) -> impl Iterator<Item = &VmId> {
+        let living = self.live_members(now).map(|(vm, _)| vm);
         living.chain(std::iter::once(&self.me))
     }
 
     /// Returns the short hashes of all live routers, this one first.
-    pub fn hashes(&self, now: Instant) -> Vec<VmHash> {
-        let others = self.living(now).map(|p| p.hash);
+    pub fn live_hashes(&self, now: Instant) -> Vec<VmHash> {
+        let others = self.live_peers(now).map(|p| p.hash);
         std::iter::once(VmHash::from(&self.me))
             .chain(others)
             .collect()
     }
 
     /// Returns the number of live routers, this one included.
-    pub fn alive(&self, now: Instant) -> usize {
-        1 + self.living(now).count()
+    pub fn live_count(&self, now: Instant) -> usize {
+        1 + self.live_peers(now).count()
     }
 
     /// Returns this router's share of the fleet's calls, from its own number of calls and that of
     /// its peers.
-    pub fn share(&self, now: Instant, own_calls: u32) -> f64 {
+    pub fn call_share(&self, now: Instant, own_calls: u32) -> f64 {
         let others = self.others_calls(now, own_calls);
-        let even = 1.0 / self.alive(now) as f64;
+        let even = 1.0 / self.live_count(now) as f64;
         match own_calls + others {
             0 => even,
             // Half by calls and half evenly: a router that had few calls so far may need retries
@@ -284,27 +284,27 @@
 
     /// Returns the limits on the silence of a router. In a small fleet every router receives
     /// heartbeats from every other.
-    fn silence(&self) -> SilenceLimits {
+    fn silence_limits(&self) -> SilenceLimits {
         let counts_for = match self.heard.len() + 1 < MIN_LARGE_FLEET {
             true => SMALL_FLEET_TIMEOUT,
-            false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_after()),
+            false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_timeout()),
         };
         SilenceLimits {
-            silent_after: pace::silent_after(self.size()),
+            silent_after: pace::silent_after(self.fleet_size()),
             counts_for,
         }
     }
 
     pub(super) fn is_alive(&self, now: Instant, peer: &Peer) -> bool {
-        peer.lives(now, self.silence())
+        peer.lives(now, self.silence_limits())
     }
 
-    pub(super) fn living(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.living_named(now).map(|(_, p)| p)
+    pub(super) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
+        self.live_members(now).map(|(_, p)| p)
     }
 
-    pub(super) fn living_named(&self, now: Instant) -> impl Iterator<Item = (&VmId, &Peer)> {
-        let silence = self.silence();
+    pub(super) fn live_members(&self, now: Instant) -> impl Iterator<Item = (&VmId, &Peer)> {
+        let silence = self.silence_limits();
         let all = self.heard.iter();
         all.filter(move |(_, p)| p.lives(now, silence))
     }
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -121,21 +121,21 @@
 impl Peers {
     /// Returns the source to ask next.
     pub fn next_read(&self, now: Instant, state: &ReadState) -> NextRead {
-        if self.looks_around(now, state.start) {
+        if self.is_discovering(now, state.start) {
             return NextRead::Wait;
         }
-        if self.is_fed(now) {
-            return self.next_of_fed(now, state);
+        if self.uses_feeders(now) {
+            return self.next_read_via_feeders(now, state);
         }
-        let is_reader = self.reads_for_all(now, state);
+        let is_reader = self.is_active_reader(now, state);
         let first_wait = match state.start {
             FleetStart::First => FIRST_START_WAIT,
-            FleetStart::Later => START_WAIT + START_WAIT_PER_ROUTER * self.alive(now) as u32,
+            FleetStart::Later => START_WAIT + START_WAIT_PER_ROUTER * self.live_count(now) as u32,
         };
         // While the store does not answer, what any peer still knows is better than nothing.
-        let ahead = self.ahead(now, state.revision);
+        let ahead = self.peer_ahead_of(now, state.revision);
         let ahead = ahead.filter(|_| state.listed || state.store_lost);
-        match ahead.or_else(|| self.reader(now)) {
+        match ahead.or_else(|| self.choose_reader(now)) {
             Some(reader) if !is_reader || state.store_lost => NextRead::Ask(reader),
             None if !is_reader && now.0 < first_wait => NextRead::Wait,
             _ if now < state.retry_at => NextRead::Wait,
@@ -144,7 +144,7 @@
     }
 
     /// Whether this router has just started and is still discovering the others.
-    fn looks_around(&self, now: Instant, start: FleetStart) -> bool {
+    fn is_discovering(&self, now: Instant, start: FleetStart) -> bool {
         let knows_none = self.heard.is_empty();
         let (is_discovering, longest) = match start {
             FleetStart::First => (now.0 < DISCOVERY_TIME, MAX_SETTLE_FIRST_START),
@@ -154,39 +154,39 @@
             }
         };
         let is_learning =
-            self.size() >= MIN_FLEET_TO_SETTLE && !self.is_settled(now) && now.0 < longest;
+            self.fleet_size() >= MIN_FLEET_TO_SETTLE && !self.is_settled(now) && now.0 < longest;
         is_discovering || is_learning
     }
 
     /// Whether this router reads the store on behalf of the fleet, as a designated reader or as a
     /// substitute.
-    fn reads_for_all(&self, now: Instant, state: &ReadState) -> bool {
-        self.is_reader(now) || (state.reads_store && self.stands_in(now))
+    fn is_active_reader(&self, now: Instant, state: &ReadState) -> bool {
+        self.is_reader(now) || (state.reads_store && self.is_substitute_reader(now))
     }
 
     /// Returns the interval between a non-reader's own calls to a store that does not answer.
-    pub fn bystander_backoff(&self, now: Instant) -> Duration {
-        let interval = NON_READER_BACKOFF_PER_ROUTER * self.alive(now) as u32;
+    pub fn non_reader_backoff(&self, now: Instant) -> Duration {
+        let interval = NON_READER_BACKOFF_PER_ROUTER * self.live_count(now) as u32;
         interval.clamp(MIN_NON_READER_BACKOFF, MAX_NON_READER_BACKOFF)
     }
 
     /// Whether this router is one of the designated readers.
     pub fn is_reader(&self, now: Instant) -> bool {
-        self.named(now).contains(&&self.me)
+        self.designated_readers(now).contains(&&self.me)
     }
 
     /// Whether this router, which read the store recently, continues to read it on behalf of the
     /// fleet.
     ///
     /// If it stopped at once, all substitutes would ask one another and none would ask the store.
-    pub fn stands_in(&self, now: Instant) -> bool {
-        self.acting(now, Some(&self.me)).contains(&&self.me)
+    pub fn is_substitute_reader(&self, now: Instant) -> bool {
+        self.acting_readers(now, Some(&self.me)).contains(&&self.me)
     }
 
     /// Returns a peer that recently received an answer from the store; the choice spreads the
     /// routers over these peers.
-    pub fn reader(&self, now: Instant) -> Option<SocketAddr> {
-        let acting = self.acting(now, None);
+    pub fn choose_reader(&self, now: Instant) -> Option<SocketAddr> {
+        let acting = self.acting_readers(now, None);
         let chosen = owner(self.me.as_str(), acting.into_iter())?;
         self.heard.get(chosen).map(|p| p.address)
     }
@@ -195,26 +195,26 @@
     /// milliseconds.
     pub fn readers(&self, now: Instant) -> Vec<(VmId, u32)> {
         // Routers behind feeders learn of changes from their feeder.
-        if self.is_fed(now) {
+        if self.uses_feeders(now) {
             return Vec::new();
         }
         let age = |p: &Peer| {
             let heard = p.store_heard.unwrap_or_default();
             now.since(heard).as_millis() as u32
         };
-        let acting = self.acting(now, None).into_iter();
+        let acting = self.acting_readers(now, None).into_iter();
         let ages = acting.filter_map(|vm| self.heard.get(vm).map(|p| (vm.clone(), age(p))));
         ages.collect()
     }
 
     /// Returns the peer with the highest store revision, if it is beyond `revision`.
-    pub fn ahead(&self, now: Instant, revision: StoreRevision) -> Option<SocketAddr> {
-        let ahead = self.living(now).filter(|p| p.mirror > revision);
+    pub fn peer_ahead_of(&self, now: Instant, revision: StoreRevision) -> Option<SocketAddr> {
+        let ahead = self.live_peers(now).filter(|p| p.mirror > revision);
         ahead.max_by_key(|p| p.mirror).map(|p| p.address)
     }
 
     /// Returns the store revision that a peer announced: it has every change up to it.
-    pub fn mirror_of(&self, address: SocketAddr) -> Option<StoreRevision> {
+    pub fn mirror_revision_of(&self, address: SocketAddr) -> Option<StoreRevision> {
         let peer = self.heard.values().find(|p| p.address == address);
         peer.map(|p| p.mirror)
     }
@@ -230,21 +230,21 @@
         }
     }
 
-    pub(super) fn named(&self, now: Instant) -> Vec<&VmId> {
-        Self::strong_keepers(READERS_KEY, self.strengths(now), READER_COUNT)
+    pub(super) fn designated_readers(&self, now: Instant) -> Vec<&VmId> {
+        Self::keepers_by_capacity(READERS_KEY, self.live_capacities(now), READER_COUNT)
     }
 
     /// Returns the designated readers that recently received an answer from the store, `me`
     /// included if given; if there are none, a few other routers that did.
-    fn acting<'a>(&'a self, now: Instant, me: Option<&'a VmId>) -> Vec<&'a VmId> {
+    fn acting_readers<'a>(&'a self, now: Instant, me: Option<&'a VmId>) -> Vec<&'a VmId> {
         let fresh = |(_, p): &(&VmId, &Peer)| self.is_fresh_reader(now, p);
         let fresh = self.heard.iter().filter(fresh);
         let fresh = fresh.map(|(vm, p)| (vm, p.strength));
         let fresh: Vec<_> = fresh.chain(me.map(|me| (me, self.strength))).collect();
-        let mut acting = self.named(now);
+        let mut acting = self.designated_readers(now);
         acting.retain(|vm| fresh.iter().any(|(f, _)| f == vm));
         match acting.is_empty() {
-            true => Self::strong_keepers(READERS_KEY, fresh.into_iter(), READER_COUNT),
+            true => Self::keepers_by_capacity(READERS_KEY, fresh.into_iter(), READER_COUNT),
             false => acting,
         }
     }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -156,7 +156,7 @@
 }
 
 impl ComparisonState {
-    pub(super) fn on_news(&mut self, now: Instant) {
+    pub(super) fn note_change(&mut self, now: Instant) {
         self.news_at = now;
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Takes up to `wanted` records from the rate limit; returns how many may be sent now.
-    fn take_records(&mut self, now: Instant, wanted: usize) -> usize {
+    fn take_record_budget(&mut self, now: Instant, wanted: usize) -> usize {
         let more = now.since(self.refilled).as_secs_f64() * MAX_RECORDS_PER_SECOND;
         self.refilled = now;
         self.records_left = (self.records_left + more).min(MAX_RECORD_BURST);
@@ -186,7 +186,7 @@
 
 impl Peers {
     /// Returns the interval until the next comparison.
-    pub fn compare_pause(&self, now: Instant) -> Duration {
+    pub fn compare_interval(&self, now: Instant) -> Duration {
         let is_learning = !self.is_settled(now) || self.comparing.differs_from.is_some();
         match is_learning {
             true => COMPARE_INTERVAL_LEARNING,
@@ -201,12 +201,12 @@
 
     /// Returns the number of routers in the fleet, as known here or reported by a peer, whichever
     /// is higher.
-    pub fn size(&self) -> usize {
+    pub fn fleet_size(&self) -> usize {
         (self.heard.len() + 1).max(self.comparing.routers_reported as usize)
     }
 
     /// Returns the router to compare with next: a hub whose roll differs, or a random router.
-    pub fn compare_with(&mut self, now: Instant) -> Option<Receiver> {
+    pub fn comparison_peer(&mut self, now: Instant) -> Option<Receiver> {
         self.comparing.turn += 1;
         let turn = self.comparing.turn;
         if let Some(hub) = self.comparing.differs_from.take() {
@@ -237,10 +237,10 @@
 
     /// Returns the first step of a comparison.
     pub fn compare(&self) -> Exchange {
-        let lives = self.counted().map(|(vm, life)| life_hash(vm, life));
+        let lives = self.digest_members().map(|(vm, life)| life_hash(vm, life));
         Exchange::Compare {
             digest: lives.fold(0, |all, life| all ^ life),
-            routers: self.counted().count() as u32,
+            routers: self.digest_members().count() as u32,
         }
     }
 
@@ -256,18 +256,18 @@
                 };
                 (own != *digest).then(|| Exchange::Differ {
                     buckets: self.buckets(),
-                    routers: self.counted().count() as u32,
+                    routers: self.digest_members().count() as u32,
                 })
             }
             Exchange::Differ { buckets, routers } => {
                 self.comparing.routers_reported = self.comparing.routers_reported.max(*routers);
                 Some(Exchange::Reply {
-                    records: self.differing(now, buckets),
+                    records: self.differing_records(now, buckets),
                     buckets: self.buckets(),
                 })
             }
             Exchange::Reply { buckets, .. } => {
-                let records = self.differing(now, buckets);
+                let records = self.differing_records(now, buckets);
                 (!records.is_empty()).then_some(Exchange::Records(records))
             }
             Exchange::Records(_) => None,
@@ -275,7 +275,7 @@
     }
 
     /// Returns recent changes, for the routers to which this one sends as a hub.
-    pub fn changes(&self, now: Instant) -> Vec<MemberRecord> {
+    pub fn recent_changes(&self, now: Instant) -> Vec<MemberRecord> {
         let is_recent = |p: &&Peer| now.since(p.changed_at) < CHANGE_REPEAT_TIME;
         let mut changed: Vec<(&VmId, &Peer)> =
             self.heard.iter().filter(|(_, p)| is_recent(p)).collect();
@@ -300,7 +300,7 @@
     /// Applies one record; returns whether the router became alive.
     fn on_record(&mut self, now: Instant, record: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
-        let silent_after = pace::silent_after(self.size());
+        let silent_after = pace::silent_after(self.fleet_size());
         let known = self.heard.get_mut(&record.vm);
         match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
@@ -310,7 +310,7 @@
                 let since = ago(since_ms);
                 self.add(now, record, since, Some(since))
             }
-            (Some(peer), RecordState::Alive { heard_ms }) if peer.life() == record.life => {
+            (Some(peer), RecordState::Alive { heard_ms }) if peer.incarnation() == record.life => {
                 let at = ago(heard_ms).before(REPORTED_AGE_MARGIN);
                 peer.reported_heard = peer.reported_heard.max(Some(at));
                 let is_back = peer
@@ -323,11 +323,11 @@
                 }
                 revived
             }
-            (Some(peer), RecordState::Down { since_ms }) if peer.life() == record.life => {
+            (Some(peer), RecordState::Down { since_ms }) if peer.incarnation() == record.life => {
                 let since = ago(since_ms);
                 // Where two halls cannot reach each other and a third reaches both, each takes the
                 // other's hubs for down.
-                let is_active = peer.is_direct() && now.since(peer.heard) < silent_after;
+                let is_active = peer.has_sent() && now.since(peer.heard) < silent_after;
                 let is_older = peer.last_heartbeat() <= since + DOWN_REPORT_TOLERANCE;
                 let is_new = peer.gone_at.is_none() && is_older && !is_active;
                 if is_new {
@@ -337,9 +337,9 @@
                 false
             }
             (Some(peer), RecordState::Alive { heard_ms })
-                if peer.may_be_followed_by(record.life) =>
+                if peer.may_be_succeeded_by(record.life) =>
             {
-                let former = peer.life();
+                let former = peer.incarnation();
                 let added = self.add(now, record, ago(heard_ms), None);
                 if let Some(peer) = self.heard.get_mut(&record.vm) {
                     peer.former_life = Some(former);
@@ -369,7 +369,7 @@
 
     /// Returns the records in buckets that differ, as many as may be sent; each call starts at
     /// another bucket.
-    fn differing(&mut self, now: Instant, theirs: &[u32]) -> Vec<MemberRecord> {
+    fn differing_records(&mut self, now: Instant, theirs: &[u32]) -> Vec<MemberRecord> {
         let own = self.buckets();
         let differs = |b: usize| theirs.get(b) != Some(&own[b]);
         let first = self.comparing.turn as usize * 31 + VmHash::from(&self.me).spread();
@@ -382,7 +382,7 @@
         if differs(bucket(&self.me)) {
             records.insert(0, self.own_record());
         }
-        let n = self.comparing.take_records(now, records.len());
+        let n = self.comparing.take_record_budget(now, records.len());
         records.truncate(n);
         records
     }
@@ -400,7 +400,7 @@
 
     fn buckets(&self) -> Vec<u32> {
         let mut buckets = vec![0; BUCKETS];
-        for (vm, life) in self.counted() {
+        for (vm, life) in self.digest_members() {
             buckets[bucket(vm)] ^= life_hash(vm, life) as u32;
         }
         buckets
@@ -408,9 +408,9 @@
 
     /// Returns the incarnations that digests cover: all that no peer reported as down, this router
     /// included.
-    pub(super) fn counted(&self) -> impl Iterator<Item = (&VmId, Incarnation)> {
+    pub(super) fn digest_members(&self) -> impl Iterator<Item = (&VmId, Incarnation)> {
         let others = self.heard.iter().filter(|(_, p)| p.gone_at.is_none());
-        let others = others.map(|(vm, p)| (vm, p.life()));
+        let others = others.map(|(vm, p)| (vm, p.incarnation()));
         others.chain(std::iter::once((&self.me, self.life)))
     }
 
@@ -419,8 +419,8 @@
         if let Some(peer) = self.heard.get_mut(vm) {
             peer.changed_at = now;
         }
-        self.comparing.on_news(now);
-        self.hubs.borrow_mut().forget();
+        self.comparing.note_change(now);
+        self.hubs.borrow_mut().invalidate();
     }
 }
 
@@ -431,7 +431,7 @@
         hall: peer.hall.clone(),
         strength: peer.strength,
         address: peer.address,
-        life: peer.life(),
+        life: peer.incarnation(),
         state: match peer.gone_at {
             Some(at) => RecordState::Down { since_ms: ms(at) },
             None => RecordState::Alive {
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -168,7 +168,7 @@
     while let NextRead::Ask(parent) = peers.next_read(now, &listed()) {
         assert!(!asked.contains(&parent));
         asked.push(parent);
-        peers.on_had_nothing(now, parent);
+        peers.on_nothing_recent(now, parent);
     }
     assert!(asked.len() > 3, "{asked:?}");
     assert_eq!(peers.next_read(now, &listed()), NextRead::Store);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -14,7 +14,7 @@
     membership::{
         datagram::{CapacityClass, Datagram, Message, Stamp},
         heartbeats::HubDigests,
-        pace::{HEARTBEAT_INTERVAL, SendContent, SendSchedule, tell_every},
+        pace::{HEARTBEAT_INTERVAL, SendContent, SendSchedule, send_interval},
         peers::{DatagramEffect, Peers},
         records::Exchange,
     },
@@ -122,7 +122,7 @@
     /// Pairs of routers of which one does not take the other to live.
     fn unknown(&self) -> usize {
         let n = self.routers.len();
-        let unknown = |r: &Router| n - r.peers.alive(self.now).min(n);
+        let unknown = |r: &Router| n - r.peers.live_count(self.now).min(n);
         self.routers.values().map(unknown).sum()
     }
 
@@ -161,7 +161,7 @@
 
     fn tell_all(&mut self, i: usize) {
         let told = self.datagram(i);
-        let all = self.routers[&i].peers.everyone();
+        let all = self.routers[&i].peers.all_receivers();
         all.into_iter()
             .for_each(|to| self.send(i, to.address, &told));
     }
@@ -172,12 +172,12 @@
         let mut told = self.datagram(i);
         let router = self.routers.get_mut(&i).unwrap();
         let mut rolls = HubDigests::default();
-        if router.peers.adds_up(now) {
-            rolls = router.peers.hub_rolls(now, 0);
-            let changes = router.peers.changes(now);
+        if router.peers.is_aggregator(now) {
+            rolls = router.peers.hub_digests(now, 0);
+            let changes = router.peers.recent_changes(now);
             told.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
         }
-        for to in router.peers.close_ones(now) {
+        for to in router.peers.frequent_receivers(now) {
             let is_near = to.hall.as_ref() == Some(&told.hall);
             told.rolls
                 .clone_from(if is_near { &rolls.near } else { &rolls.far });
@@ -191,7 +191,7 @@
         let router = self.routers.get_mut(&i).unwrap();
         router.compared = now;
         told.exchange = Some(router.peers.compare());
-        if let Some(to) = router.peers.compare_with(now) {
+        if let Some(to) = router.peers.comparison_peer(now) {
             self.send(i, to.address, &told);
         }
     }
@@ -252,13 +252,13 @@
             router.peers.on_tick(now);
         }
         let is_large = router.peers.is_large(now);
-        let alive = router.peers.alive(now);
-        let every = match is_large && router.peers.adds_up(now) {
-            true => tell_every(alive),
+        let alive = router.peers.live_count(now);
+        let every = match is_large && router.peers.is_aggregator(now) {
+            true => send_interval(alive),
             // Those that have nothing to tell do so only as a heartbeat.
-            false => HEARTBEAT_INTERVAL.max(tell_every(alive)),
+            false => HEARTBEAT_INTERVAL.max(send_interval(alive)),
         };
-        let compares = now.since(router.compared) >= router.peers.compare_pause(now);
+        let compares = now.since(router.compared) >= router.peers.compare_interval(now);
         if now.since(router.told) >= every {
             router.told = now;
             match is_large {
@@ -305,7 +305,7 @@
     net.run(FOUND_WITHIN);
     assert_eq!(net.unknown(), 0);
     let hubs = net.routers.values();
-    let hubs = hubs.filter(|r| r.peers.is_large(net.now) && r.peers.adds_up(net.now));
+    let hubs = hubs.filter(|r| r.peers.is_large(net.now) && r.peers.is_aggregator(net.now));
     assert!(hubs.count() <= net.halls);
 }
 
@@ -352,7 +352,7 @@
     let alive: Vec<usize> = net
         .routers
         .values()
-        .map(|r| r.peers.alive(net.now))
+        .map(|r| r.peers.live_count(net.now))
         .collect();
     assert!(
         alive.iter().all(|a| *a == left),
@@ -376,8 +376,8 @@
     for _ in 0..40 {
         net.run(Duration::from_millis(500));
         let between = net.routers.iter().filter(|(i, _)| *i % 3 == 2);
-        let hubs = between.filter(|(_, r)| r.peers.adds_up(net.now));
-        let alive: Vec<usize> = hubs.map(|(_, r)| r.peers.alive(net.now)).collect();
+        let hubs = between.filter(|(_, r)| r.peers.is_aggregator(net.now));
+        let alive: Vec<usize> = hubs.map(|(_, r)| r.peers.live_count(net.now)).collect();
         assert_eq!(alive, [n]);
     }
 }
@@ -432,7 +432,7 @@
     let alive: Vec<usize> = net
         .routers
         .values()
-        .map(|r| r.peers.alive(net.now))
+        .map(|r| r.peers.live_count(net.now))
         .collect();
     assert!(alive.iter().all(|a| *a == 20), "{alive:?}");
     net.cut.clear();
@@ -440,7 +440,7 @@
     let alive: Vec<usize> = net
         .routers
         .values()
-        .map(|r| r.peers.alive(net.now))
+        .map(|r| r.peers.live_count(net.now))
         .collect();
     assert!(alive.iter().all(|a| *a == 40), "{alive:?}");
 }
@@ -461,14 +461,14 @@
     let now = net.now;
     let seen = &mut net.routers.get_mut(&0).unwrap().peers;
     let thing = (0..).map(|n| format!("claims/{n}"));
-    let thing = thing.into_iter().find(|t| seen.keeper_of(now, t).is_some());
+    let thing = thing.into_iter().find(|t| seen.owner_of(now, t).is_some());
     let thing = thing.unwrap();
-    let keeper = seen.keeper_of(now, &thing).unwrap();
+    let keeper = seen.owner_of(now, &thing).unwrap();
     seen.on_unreachable(now, keeper);
-    assert_ne!(seen.keeper_of(now, &thing), Some(keeper));
+    assert_ne!(seen.owner_of(now, &thing), Some(keeper));
     net.run(GONE_AFTER);
     let seen = &net.routers[&0].peers;
-    assert_eq!(seen.keeper_of(net.now, &thing), Some(keeper));
+    assert_eq!(seen.owner_of(net.now, &thing), Some(keeper));
 }
 
 /// Counts are told every 354 ms in a fleet of 295; had hints of prompts waited for them in each hub as well,
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -7,7 +7,7 @@
     ids::{DataHall, Incarnation, VmId},
     membership::{
         datagram::{CapacityClass, Datagram, Stamp},
-        pace::tell_every,
+        pace::send_interval,
         peers::{DatagramEffect, Peers},
         readers::{FleetStart, NextRead, ReadState},
     },
@@ -102,7 +102,7 @@
             DatagramEffect::Known
         );
     }
-    assert_eq!(seen.alive(at(2_000)), 1);
+    assert_eq!(seen.live_count(at(2_000)), 1);
 }
 
 #[test]
@@ -128,17 +128,20 @@
     let seen = peers(0);
     let mut told = datagram(1, 1);
     told.config = Some((ConfigVersion(4), 100));
-    assert!(seen.vouch(&told).is_none(), "it answers nothing of ours");
+    assert!(
+        seen.config_confirmation(&told).is_none(),
+        "it answers nothing of ours"
+    );
     told.echo = Some(Stamp {
         life: Incarnation(7),
         micros: 5,
     });
-    assert!(seen.vouch(&told).is_none());
+    assert!(seen.config_confirmation(&told).is_none());
     told.echo = Some(Stamp {
         life: Incarnation(1),
         micros: 5_000_000,
     });
-    assert_eq!(seen.vouch(&told).unwrap().echo, at(5_000));
+    assert_eq!(seen.config_confirmation(&told).unwrap().echo, at(5_000));
 }
 
 #[test]
@@ -156,11 +159,11 @@
         ..datagram(1, 1)
     };
     hear(&mut seen, at(1_000), &told);
-    assert_eq!(seen.reader(at(1_100)), Some(address(1)));
+    assert_eq!(seen.choose_reader(at(1_100)), Some(address(1)));
     let silent = datagram(1, 2);
     hear(&mut seen, at(2_500), &silent);
     assert_eq!(
-        seen.reader(at(2_500)),
+        seen.choose_reader(at(2_500)),
         None,
         "it lives, but tells of no word since"
     );
@@ -185,9 +188,9 @@
             };
             hear(&mut seen, at(1_000), &told);
         }
-        match others.contains(&me) && seen.stands_in(at(1_000)) {
+        match others.contains(&me) && seen.is_substitute_reader(at(1_000)) {
             true => standing_in.push(address(me)),
-            false => asked.push(seen.reader(at(1_000)).unwrap()),
+            false => asked.push(seen.choose_reader(at(1_000)).unwrap()),
         }
     }
     assert_eq!(standing_in.len(), 3);
@@ -242,7 +245,7 @@
     let n = 30;
     let mut fleet = fleet(n, at(0));
     let adding = |fleet: &[Peers], now| -> Vec<usize> {
-        (0..n).filter(|i| fleet[*i].adds_up(now)).collect()
+        (0..n).filter(|i| fleet[*i].is_aggregator(now)).collect()
     };
     let first = adding(&fleet, at(100));
     assert_eq!(first.len(), 3, "one a hall: {first:?}");
@@ -262,17 +265,19 @@
     let sent_a_second = |n: usize| {
         let fleet = fleet(n, at(0));
         let now = at(100);
-        let other = fleet.iter().find(|p| !p.adds_up(now)).unwrap();
-        let told = other.close_ones(now).len() as f64 / tell_every(n).as_secs_f64();
+        let other = fleet.iter().find(|p| !p.is_aggregator(now)).unwrap();
+        let told = other.frequent_receivers(now).len() as f64 / send_interval(n).as_secs_f64();
         // A comparison takes four datagrams at the most.
-        let compared = 4.0 / other.compare_pause(at(10_000)).as_secs_f64();
+        let compared = 4.0 / other.compare_interval(at(10_000)).as_secs_f64();
         told + compared
     };
     assert!(sent_a_second(200) < 45.0);
     assert!(sent_a_second(200) < sent_a_second(100) * 1.1);
     // Only the router that adds up for a hall sends to many others as counts change.
     let large = fleet(90, at(0));
-    let close = large.iter().filter(|p| p.close_ones(at(100)).len() > 2);
+    let close = large
+        .iter()
+        .filter(|p| p.frequent_receivers(at(100)).len() > 2);
     assert_eq!(close.count(), 3);
 }
 
@@ -289,7 +294,7 @@
                 };
                 hear(&mut seen, at(0), &told);
             }
-            seen.share(at(10), calls[me])
+            seen.call_share(at(10), calls[me])
         })
         .sum();
     assert!((shares - 1.0).abs() < 0.01, "{shares}");
@@ -299,8 +304,8 @@
 fn a_silent_peer_stops_to_count() {
     let mut seen = peers(0);
     hear(&mut seen, at(0), &datagram(1, 1));
-    assert_eq!(seen.alive(at(2_000)), 2);
-    assert_eq!(seen.alive(at(4_000)), 1);
+    assert_eq!(seen.live_count(at(2_000)), 2);
+    assert_eq!(seen.live_count(at(4_000)), 1);
 }
 
 /// Grown sapporo trouble-1: readers with thin links took seconds to tell a configuration on.
@@ -337,7 +342,7 @@
     let readers = chosen(&|p| p.is_reader(at(100)));
     assert_eq!(readers.len(), 3);
     assert!(readers.iter().all(|i| i % 5 == 0), "{readers:?}");
-    let adding = chosen(&|p| p.adds_up(at(100)));
+    let adding = chosen(&|p| p.is_aggregator(at(100)));
     assert_eq!(adding.len(), 3);
     assert!(adding.iter().all(|i| i % 5 == 0), "{adding:?}");
 }
@@ -356,7 +361,7 @@
     for other in 1..routers {
         hear(&mut seen, at(0), &datagram(other, 1));
     }
-    let pause = seen.bystander_backoff(at(100));
+    let pause = seen.non_reader_backoff(at(100));
     assert_eq!(pause, Duration::from_millis(pause_ms));
 }
 
@@ -393,8 +398,8 @@
     }
     let gone_on = 11_000;
     seen.on_tick(at(gone_on));
-    assert_eq!(seen.alive(at(gone_on)), 7);
-    assert!(seen.share(at(gone_on), 10) < 0.6);
+    assert_eq!(seen.live_count(at(gone_on)), 7);
+    assert!(seen.call_share(at(gone_on), 10) < 0.6);
     // Those that it hears nothing of then are dead as ever.
     hear(&mut seen, at(gone_on + 50), &datagram(1, 2));
     for ms in (gone_on..gone_on + 900).step_by(tick) {
@@ -405,5 +410,5 @@
     for ms in (gone_on + 900..later).step_by(tick) {
         seen.on_tick(at(ms));
     }
-    assert_eq!(seen.alive(at(later)), 2);
+    assert_eq!(seen.live_count(at(later)), 2);
 }
