--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -201,7 +201,7 @@
         self.rules.set(cfg.rules);
         self.dispatcher.borrow_mut().set_rules(&cfg.rules);
         for seed in &cfg.seeds {
-            self.peers.borrow_mut().on_address(now, *seed);
+            self.peers.borrow_mut().add_address(now, *seed);
         }
         info!(self.log, "reload"; "outcome" => "in force", "rules" => ?cfg.rules);
     }
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -143,8 +143,8 @@
         told.echo = to.echo;
         let is_near = to.hall.as_ref() == Some(&cx.cfg.data_hall);
         let (halls, rolls, of_halls) = match is_near {
-            true => (&sums.all, &rolls.near, &rates.halls.near),
-            false => (&sums.own, &rolls.far, &rates.halls.far),
+            true => (&sums.all, &rolls.for_own_hall, &rates.halls.near),
+            false => (&sums.own, &rolls.for_other_halls, &rates.halls.far),
         };
         told.rates = of_halls.iter().chain(&rates.own).cloned().collect();
         told.halls.clone_from(halls);
@@ -232,24 +232,24 @@
         vm: cx.cfg.vm.clone(),
         number,
         sent: Stamp {
-            life: cx.life_number(),
+            incarnation: cx.life_number(),
             micros: now.0.as_micros() as u64,
         },
         echo: None,
         config: age.map(|a| (freshness.version(), a.as_millis() as u32)),
         hall: cx.cfg.data_hall.clone(),
-        strength: cx.cfg.strength,
-        readers,
+        capacity: cx.cfg.strength,
+        reader_ages: readers,
         suspected: cx.dispatcher.borrow().health.suspected_here(now),
         halls: Vec::new(),
         outages: cx.dispatcher.borrow().health.outages.notices(now),
         endings: cx.dispatcher.borrow().quarantine.crash_notices(now),
-        held: cx.dispatcher.borrow().quarantine.quarantine_notices(now),
+        held_requests: cx.dispatcher.borrow().quarantine.quarantine_notices(now),
         rolls: Vec::new(),
         exchange: None,
         rates: Vec::new(),
-        mirror: cx.mirror.borrow().revision(),
-        store_back: cx
+        mirror_revision: cx.mirror.borrow().revision(),
+        store_regained_ms: cx
             .store_back_at
             .get()
             .map(|at| now.since(at).as_millis() as u32),
@@ -304,9 +304,9 @@
     if let Some(vouch) = cx.peers.borrow().config_confirmation(&told) {
         cx.freshness.borrow_mut().on_peer_confirmation(vouch);
     }
-    endings::on_peer(cx, now, &told.endings, &told.held);
+    endings::on_peer(cx, now, &told.endings, &told.held_requests);
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    if let Some(ago) = told.store_back {
+    if let Some(ago) = told.store_regained_ms {
         let ago = Duration::from_millis(u64::from(ago));
         dispatcher.discovery.on_store_available(now, ago);
     }
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -120,7 +120,7 @@
     for (item, entry) in own {
         match entry {
             Ok(OwnEntry::Router(address)) => {
-                cx.peers.borrow_mut().on_address(cx.now(), address);
+                cx.peers.borrow_mut().add_address(cx.now(), address);
             }
             Ok(OwnEntry::Prompts(saved)) if is_list => {
                 recalled = Some(prompts::decode(cx, &saved));
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// Incarnation of the router whose clock was read.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Microseconds since that incarnation started.
     pub micros: u64,
 }
@@ -92,7 +92,7 @@
     /// Data hall of the sender.
     pub hall: DataHall,
     /// Capacity class of the sender's link and processor.
-    pub strength: CapacityClass,
+    pub capacity: CapacityClass,
     /// Sequence number of the datagram within the sender's incarnation.
     pub number: u64,
     /// Time at which the datagram was sent, by the sender's clock.
@@ -103,11 +103,11 @@
     pub config: Option<(ConfigVersion, u32)>,
     /// Store readers, each with the time since it last received an answer from the store, in
     /// milliseconds.
-    pub readers: Vec<(VmId, u32)>,
+    pub reader_ages: Vec<(VmId, u32)>,
     /// Store revision up to which the sender has every change.
-    pub mirror: StoreRevision,
+    pub mirror_revision: StoreRevision,
     /// Time since the store answered the sender again after a failure, in milliseconds.
-    pub store_back: Option<u32>,
+    pub store_regained_ms: Option<u32>,
     /// Number of calls that the sender accepted in the last seconds; the retry budget is divided by
     /// it.
     pub calls: u32,
@@ -129,7 +129,7 @@
     /// Targets that ended while they ran requests, as found by the sender or reported to it.
     pub endings: Vec<CrashNotice>,
     /// Requests that are held back and not known to be recorded in the store; usually empty.
-    pub held: Vec<QuarantineNotice>,
+    pub held_requests: Vec<QuarantineNotice>,
     /// Targets that do not answer the sender.
     pub suspected: Vec<TargetHash>,
     /// Shared prompt parts that were sent to a target for the first time.
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -57,9 +57,9 @@
 
     /// Records that the router at `asked` had nothing recent or did not answer.
     pub fn on_nothing_recent(&mut self, now: Instant, asked: SocketAddr) {
-        self.had_nothing
+        self.failed_sources
             .retain(|_, at| now.since(*at) < PARENT_RETRY_INTERVAL);
-        self.had_nothing.insert(asked, now);
+        self.failed_sources.insert(asked, now);
     }
 
     /// Returns where a router of a large fleet reads next.
@@ -92,7 +92,7 @@
             false => feeders.into_iter().chain(readers),
         };
         let is_paused = |address: &SocketAddr| {
-            let at = self.had_nothing.get(address);
+            let at = self.failed_sources.get(address);
             at.is_some_and(|at| now.since(*at) < PARENT_RETRY_INTERVAL)
         };
         let addresses = candidates.filter_map(|vm| self.heard.get(vm).map(|p| p.address));
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Failure detection in a fleet where not every router sends heartbeats to every other.
 //!
 //! Routers send heartbeats to the hubs of their data hall several times a second. A hub that has
-//! received nothing from a router for [`pace::silent_after`] reports it as down, and the next
+//! received nothing from a router for [`pace::failure_timeout`] reports it as down, and the next
 //! datagrams carry that report to all routers. Every hub also sends a roll: a digest of the live
 //! routers in its data hall. For a router that computes the same digest, the roll is a heartbeat of
 //! all of them in a few bytes; a router that computes another one compares its records with the
@@ -72,9 +72,9 @@
 #[derive(Debug, Default)]
 pub struct HubDigests {
     /// Rolls of all data halls, for the routers of the hub's own data hall.
-    pub near: Vec<MemberDigest>,
+    pub for_own_hall: Vec<MemberDigest>,
     /// Roll of the hub's own data hall, for the hubs of the others.
-    pub far: Vec<MemberDigest>,
+    pub for_other_halls: Vec<MemberDigest>,
 }
 
 /// Latest roll of a data hall.
@@ -89,7 +89,7 @@
     /// Returns how long a silent router counts as alive where hubs report failures, if there is no
     /// report about it.
     pub(super) fn unconfirmed_timeout(&self) -> Duration {
-        pace::silent_after(self.fleet_size()) * UNCONFIRMED_FACTOR
+        pace::failure_timeout(self.fleet_size()) * UNCONFIRMED_FACTOR
     }
 
     /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
@@ -102,8 +102,8 @@
             digest: self.hall_digest(&self.hall),
             calls,
         };
-        self.rolls.insert(self.hall.clone(), own);
-        let fresh = self.rolls.iter().filter(|(_, r)| self.is_fresh(now, r));
+        self.digests.insert(self.hall.clone(), own);
+        let fresh = self.digests.iter().filter(|(_, r)| self.is_fresh(now, r));
         let roll = |(hall, roll): (&DataHall, &KnownDigest)| MemberDigest {
             hall: hall.clone(),
             age_ms: now
@@ -117,8 +117,8 @@
         let near: Vec<MemberDigest> = fresh.map(roll).collect();
         let far = near.iter().filter(|r| r.hall == self.hall);
         HubDigests {
-            far: far.cloned().collect(),
-            near,
+            for_other_halls: far.cloned().collect(),
+            for_own_hall: near,
         }
     }
 
@@ -126,18 +126,18 @@
     pub(super) fn on_member_digests(&mut self, now: Instant, from: &VmId, rolls: &[MemberDigest]) {
         for received in rolls {
             let at = now.before(Duration::from_millis(u64::from(received.age_ms)));
-            if self.rolls.get(&received.hall).is_some_and(|r| r.at >= at) {
+            if self.digests.get(&received.hall).is_some_and(|r| r.at >= at) {
                 continue;
             }
             let (digest, calls) = (received.digest, received.calls);
             let roll = KnownDigest { at, digest, calls };
-            self.rolls.insert(received.hall.clone(), roll);
+            self.digests.insert(received.hall.clone(), roll);
             match self.hall_digest(&received.hall) == received.digest {
                 true => self.confirm_alive(&received.hall, at),
                 false => {
                     let from = self.heard.get(from).map(|p| p.address);
                     from.into_iter()
-                        .for_each(|a| self.comparing.on_difference(a));
+                        .for_each(|a| self.comparison.on_difference(a));
                 }
             }
         }
@@ -146,7 +146,7 @@
     /// Records that all routers that count as alive in a data hall sent a heartbeat.
     fn confirm_alive(&mut self, hall: &DataHall, at: Instant) {
         let here = self.heard.values_mut().filter(|p| p.hall == *hall);
-        for peer in here.filter(|p| p.gone_at.is_none()) {
+        for peer in here.filter(|p| p.down_since.is_none()) {
             peer.reported_heard = peer.reported_heard.max(Some(at));
         }
     }
@@ -163,9 +163,12 @@
 
     /// Returns the number of calls that other routers accepted in the last seconds.
     pub(super) fn others_calls(&self, now: Instant, own_calls: u32) -> u32 {
-        let has_fresh_roll =
-            |hall: &DataHall| self.rolls.get(hall).is_some_and(|r| self.is_fresh(now, r));
-        let reported = self.rolls.values().filter(|r| self.is_fresh(now, r));
+        let has_fresh_roll = |hall: &DataHall| {
+            self.digests
+                .get(hall)
+                .is_some_and(|r| self.is_fresh(now, r))
+        };
+        let reported = self.digests.values().filter(|r| self.is_fresh(now, r));
         let reported: u32 = reported.map(|r| r.calls).sum();
         let own_reported = if has_fresh_roll(&self.hall) {
             own_calls
@@ -179,16 +182,16 @@
     /// Reports monitored routers as down once they have been silent for too long.
     pub(super) fn detect_failures(&mut self, now: Instant) {
         if !self.is_large(now) {
-            self.observing_since = None;
+            self.monitoring_since = None;
             return;
         }
-        let since = *self.observing_since.get_or_insert(now);
-        let silent_after = pace::silent_after(self.fleet_size());
+        let since = *self.monitoring_since.get_or_insert(now);
+        let silent_after = pace::failure_timeout(self.fleet_size());
         let watched: Vec<VmId> = {
             let mut watched = self.monitored(now);
             watched.retain(|vm| {
                 self.heard.get(vm).is_some_and(|p| {
-                    let heard = p.heard.max(since).max(p.watched_since.unwrap_or(now));
+                    let heard = p.heard.max(since).max(p.monitored_since.unwrap_or(now));
                     now.since(heard) >= silent_after.mul_f64(self.silence_factor(now, p))
                 })
             });
@@ -196,7 +199,7 @@
         };
         for vm in watched {
             if let Some(peer) = self.heard.get_mut(&vm) {
-                peer.gone_at = Some(now);
+                peer.down_since = Some(now);
             }
             self.on_change(now, &vm);
         }
@@ -208,7 +211,7 @@
         let is_new = now.since(peer.changed_at) < self.unconfirmed_timeout();
         match () {
             () if is_new && !peer.has_sent() => NEW_PEER_FACTOR,
-            () if Some(peer.heard) < peer.watched_since => NEWLY_MONITORED_FACTOR,
+            () if Some(peer.heard) < peer.monitored_since => NEWLY_MONITORED_FACTOR,
             () => 1.0,
         }
     }
@@ -217,8 +220,8 @@
     fn update_monitored(&mut self, now: Instant) {
         let watched = self.monitored(now);
         for (vm, peer) in &mut self.heard {
-            peer.watched_since = match watched.binary_search(vm) {
-                Ok(_) => peer.watched_since.or(Some(now)),
+            peer.monitored_since = match watched.binary_search(vm) {
+                Ok(_) => peer.monitored_since.or(Some(now)),
                 Err(_) => None,
             };
         }
@@ -250,7 +253,7 @@
         }
         // Includes routers that only this one takes for dead: its roll covers all that no hub
         // reported as down.
-        let is_counted = |vm: &VmId| self.heard.get(vm).is_some_and(|p| p.gone_at.is_none());
+        let is_counted = |vm: &VmId| self.heard.get(vm).is_some_and(|p| p.down_since.is_none());
         watched.retain(is_counted);
         watched.sort_unstable();
         watched.dedup();
@@ -272,6 +275,6 @@
                 peer.heard = now.before(before.since(peer.last_heartbeat()));
             }
         }
-        self.observing_since = Some(now);
+        self.monitoring_since = Some(now);
     }
 }
--- a/src/membership/pace.rs
+++ b/src/membership/pace.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns how long a router may be silent to those that monitor it.
-pub fn silent_after(routers: usize) -> Duration {
+pub fn failure_timeout(routers: usize) -> Duration {
     MIN_FAILURE_TIMEOUT.max(max_heartbeat_interval(routers) * MAX_MISSED_HEARTBEATS)
 }
 
@@ -98,7 +98,7 @@
 /// Send schedule of one router.
 #[derive(Debug, Default)]
 pub struct SendSchedule {
-    told: u32,
+    sends: u32,
 }
 
 impl SendSchedule {
@@ -109,13 +109,13 @@
             .div_duration_f64(MIN_SEND_INTERVAL)
             .round()
             .max(1.0) as u32;
-        self.told += 1;
-        let content = match self.told >= parts {
+        self.sends += 1;
+        let content = match self.sends >= parts {
             true => SendContent::All,
             false => SendContent::Hints,
         };
         if content == SendContent::All {
-            self.told = 0;
+            self.sends = 0;
         }
         (full_interval / parts, content)
     }
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -26,7 +26,7 @@
     /// Limit towards the routers that monitor it.
     pub(super) silent_after: Duration,
     /// Limit if no router reports it as down.
-    pub(super) counts_for: Duration,
+    pub(super) unreported_timeout: Duration,
 }
 
 /// One other router.
@@ -42,17 +42,17 @@
     /// Latest heartbeat that other routers reported.
     pub(super) reported_heard: Option<Instant>,
     /// Since when it is silent to the routers that monitor it, or stops.
-    pub(super) gone_at: Option<Instant>,
+    pub(super) down_since: Option<Instant>,
     /// When this router learned of it, or of the last change of whether it is alive.
     pub(super) changed_at: Instant,
     /// Since when this router monitors its heartbeats.
-    pub(super) watched_since: Option<Instant>,
+    pub(super) monitored_since: Option<Instant>,
     /// When a call to it last got no answer; cleared by its next datagram.
     pub(super) unreachable_at: Option<Instant>,
     /// Its incarnation, and its clock in its last datagram; the clock is zero before the first one.
     pub(super) stamp: Stamp,
     /// Previous incarnation, whose datagrams may still arrive.
-    pub(super) former_life: Option<Incarnation>,
+    pub(super) former_incarnation: Option<Incarnation>,
     /// Sequence number of its last datagram; 0 before the first one.
     pub(super) number: u64,
     pub(super) calls: u32,
@@ -64,37 +64,37 @@
 
 impl Peer {
     /// Builds the state from the router's own datagram; `before` is the previous state.
-    pub(super) fn heard(
+    pub(super) fn from_datagram(
         now: Instant,
         from: SocketAddr,
         datagram: &Datagram,
         before: Option<&Self>,
     ) -> Self {
-        let same_life = before.filter(|p| p.incarnation() == datagram.sent.life);
+        let same_life = before.filter(|p| p.incarnation() == datagram.sent.incarnation);
         let former_life = match same_life {
-            Some(p) => p.former_life,
+            Some(p) => p.former_incarnation,
             None => before.map(Self::incarnation),
         };
         Self {
             address: from,
             hall: datagram.hall.clone(),
-            strength: datagram.strength,
+            strength: datagram.capacity,
             hash: VmHash::from(&datagram.vm),
             heard: now,
             reported_heard: None,
-            gone_at: datagram.stopping.then(|| {
-                let since = same_life.and_then(|p| p.gone_at);
+            down_since: datagram.stopping.then(|| {
+                let since = same_life.and_then(|p| p.down_since);
                 since.unwrap_or(now)
             }),
             changed_at: same_life.map_or(now, |p| p.changed_at),
-            watched_since: same_life.and_then(|p| p.watched_since),
+            monitored_since: same_life.and_then(|p| p.monitored_since),
             unreachable_at: None,
             stamp: datagram.sent,
-            former_life,
+            former_incarnation: former_life,
             number: datagram.number,
             calls: datagram.calls,
             stopping: datagram.stopping,
-            mirror: datagram.mirror,
+            mirror: datagram.mirror_revision,
             store_heard: before.and_then(|p| p.store_heard),
         }
     }
@@ -114,15 +114,15 @@
             hash: VmHash::from(&record.vm),
             heard,
             reported_heard: None,
-            gone_at,
+            down_since: gone_at,
             changed_at: now,
-            watched_since: None,
+            monitored_since: None,
             unreachable_at: None,
             stamp: Stamp {
-                life: record.life,
+                incarnation: record.life,
                 micros: 0,
             },
-            former_life: None,
+            former_incarnation: None,
             number: 0,
             calls: 0,
             stopping: false,
@@ -133,7 +133,7 @@
 
     /// Returns the known incarnation.
     pub(super) fn incarnation(&self) -> Incarnation {
-        self.stamp.life
+        self.stamp.incarnation
     }
 
     /// Whether the router itself has sent a datagram.
@@ -147,14 +147,14 @@
     /// is accepted once the known incarnation is silent.
     pub(super) fn is_outdated(&self, now: Instant, other: Incarnation) -> bool {
         let is_active = now.since(self.heard) < INCARNATION_TIMEOUT;
-        self.former_life == Some(other) || (self.incarnation() > other && is_active)
+        self.former_incarnation == Some(other) || (self.incarnation() > other && is_active)
     }
 
     /// Whether `life`, an incarnation that others report, may be a later one than the known one.
     ///
     /// One with a lower number is accepted only from the router's own datagrams.
     pub(super) fn may_be_succeeded_by(&self, other: Incarnation) -> bool {
-        self.former_life != Some(other) && other > self.incarnation()
+        self.former_incarnation != Some(other) && other > self.incarnation()
     }
 
     /// Returns the time of its last heartbeat, received directly or reported.
@@ -172,8 +172,8 @@
         let heartbeat = self.last_heartbeat();
         let is_back = |at: Instant| heartbeat > at + limits.silent_after;
         let is_reachable = self.unreachable_at.is_none_or(is_back);
-        let is_down = self.stopping || self.gone_at.is_some();
-        !is_down && is_reachable && now.since(heartbeat) < limits.counts_for
+        let is_down = self.stopping || self.down_since.is_some();
+        !is_down && is_reachable && now.since(heartbeat) < limits.unreported_timeout
     }
 }
 
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -60,19 +60,19 @@
     pub(super) life: Incarnation,
     pub(super) own_address: SocketAddr,
     pub(super) heard: BTreeMap<VmId, Peer>,
-    pub(super) unheard: BTreeMap<SocketAddr, Instant>,
+    pub(super) unconfirmed_addresses: BTreeMap<SocketAddr, Instant>,
     /// Latest roll of each data hall.
-    pub(super) rolls: BTreeMap<DataHall, KnownDigest>,
-    pub(super) comparing: ComparisonState,
+    pub(super) digests: BTreeMap<DataHall, KnownDigest>,
+    pub(super) comparison: ComparisonState,
     /// Since when this router monitors others.
-    pub(super) observing_since: Option<Instant>,
+    pub(super) monitoring_since: Option<Instant>,
     pub(super) hubs: RefCell<HubTable>,
     /// Routers that had nothing recent when they were asked, and when that was.
-    pub(super) had_nothing: BTreeMap<SocketAddr, Instant>,
+    pub(super) failed_sources: BTreeMap<SocketAddr, Instant>,
     /// Peers that were sent what they had missed: the incarnation of each, and when.
-    taught: BTreeMap<VmId, (Incarnation, Instant)>,
+    synced: BTreeMap<VmId, (Incarnation, Instant)>,
     /// Time of the last tick.
-    ticked: Option<Instant>,
+    last_tick: Option<Instant>,
 }
 
 impl Peers {
@@ -92,26 +92,26 @@
             life,
             own_address,
             heard: BTreeMap::new(),
-            unheard: BTreeMap::new(),
-            rolls: BTreeMap::new(),
-            comparing: ComparisonState::default(),
-            observing_since: None,
+            unconfirmed_addresses: BTreeMap::new(),
+            digests: BTreeMap::new(),
+            comparison: ComparisonState::default(),
+            monitoring_since: None,
             hubs: RefCell::default(),
-            had_nothing: BTreeMap::new(),
-            taught: BTreeMap::new(),
-            ticked: None,
+            failed_sources: BTreeMap::new(),
+            synced: BTreeMap::new(),
+            last_tick: None,
         };
         for seed in seeds {
-            peers.on_address(Instant::default(), *seed);
+            peers.add_address(Instant::default(), *seed);
         }
         peers
     }
 
     /// Adds an address at which a router may be reached.
-    pub fn on_address(&mut self, now: Instant, address: SocketAddr) {
+    pub fn add_address(&mut self, now: Instant, address: SocketAddr) {
         let known = self.heard.values().any(|p| p.address == address);
         if !known && address != self.own_address {
-            self.unheard.entry(address).or_insert(now);
+            self.unconfirmed_addresses.entry(address).or_insert(now);
         }
     }
 
@@ -128,28 +128,32 @@
         let before = self.heard.get(&datagram.vm);
         let was_alive = before.is_some_and(|p| p.lives(now, self.silence_limits()));
         let heard = match before {
-            Some(p) if p.incarnation() == datagram.sent.life && p.number >= datagram.number => {
+            Some(p)
+                if p.incarnation() == datagram.sent.incarnation && p.number >= datagram.number =>
+            {
                 return DatagramEffect::Outdated;
             }
-            Some(p) if p.is_outdated(now, datagram.sent.life) => {
+            Some(p) if p.is_outdated(now, datagram.sent.incarnation) => {
                 return DatagramEffect::Outdated;
             }
             // A peer that stops is still the same incarnation, and needs no data.
-            Some(p) if p.incarnation() == datagram.sent.life && (was_alive || p.stopping) => {
+            Some(p)
+                if p.incarnation() == datagram.sent.incarnation && (was_alive || p.stopping) =>
+            {
                 DatagramEffect::Known
             }
             _ if datagram.stopping => DatagramEffect::Known,
             _ => DatagramEffect::Joined,
         };
-        let peer = Peer::heard(now, from, datagram, before);
+        let peer = Peer::from_datagram(now, from, datagram, before);
         let is_change = was_alive == datagram.stopping || heard == DatagramEffect::Joined;
         self.heard.insert(datagram.vm.clone(), peer);
         if is_change {
             self.on_change(now, &datagram.vm);
         }
-        self.on_store_readers(now, &datagram.readers);
+        self.on_store_readers(now, &datagram.reader_ages);
         self.on_member_digests(now, &datagram.vm, &datagram.rolls);
-        self.unheard.remove(&from);
+        self.unconfirmed_addresses.remove(&from);
         heard
     }
 
@@ -165,7 +169,9 @@
     /// Returns the confirmation of the configuration in a datagram, if it answers one of this
     /// incarnation.
     pub fn config_confirmation(&self, datagram: &Datagram) -> Option<PeerConfirmation> {
-        let echo = datagram.echo.filter(|stamp| stamp.life == self.life)?;
+        let echo = datagram
+            .echo
+            .filter(|stamp| stamp.incarnation == self.life)?;
         let (version, age_ms) = datagram.config?;
         Some(PeerConfirmation {
             echo: Instant(Duration::from_micros(echo.micros)),
@@ -177,18 +183,21 @@
     /// Returns all known peers and all addresses where one may be.
     pub fn all_receivers(&self) -> Vec<Receiver> {
         let heard = self.heard.iter().map(Receiver::of);
-        let unheard = self.unheard.keys().map(|address| Receiver::at(*address));
+        let unheard = self
+            .unconfirmed_addresses
+            .keys()
+            .map(|address| Receiver::at(*address));
         heard.chain(unheard).collect()
     }
 
     /// Detects failures, and removes peers and addresses that have been silent for too long.
     pub fn on_tick(&mut self, now: Instant) {
-        let before = self.ticked.replace(now).unwrap_or(now);
+        let before = self.last_tick.replace(now).unwrap_or(now);
         self.reset_after_stall(before, now);
         self.detect_failures(now);
         let keep = |since: Instant| now.since(since) < ADDRESS_TTL;
         self.heard.retain(|_, p| keep(p.last_heartbeat()));
-        self.unheard.retain(|_, since| keep(*since));
+        self.unconfirmed_addresses.retain(|_, since| keep(*since));
     }
 
     /// Whether this router is one of the few that send a peer that joined the state of the fleet.
@@ -200,15 +209,15 @@
     /// Whether this router has to send a peer that joined what it missed; if so, records that it
     /// does.
     pub fn take_sync_duty(&mut self, now: Instant, joined: &VmId) -> bool {
-        self.taught
+        self.synced
             .retain(|_, (_, at)| now.since(*at) < MIN_SYNC_INTERVAL);
         let Some(life) = self.heard.get(joined).map(Peer::incarnation) else {
             return false;
         };
-        let was_sent = self.taught.get(joined).is_some_and(|(l, _)| *l == life);
+        let was_sent = self.synced.get(joined).is_some_and(|(l, _)| *l == life);
         let is_due = !was_sent && self.is_sync_sender_for(now, joined);
         if is_due {
-            self.taught.insert(joined.clone(), (life, now));
+            self.synced.insert(joined.clone(), (life, now));
         }
         is_due
     }
@@ -290,8 +299,8 @@
             false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_timeout()),
         };
         SilenceLimits {
-            silent_after: pace::silent_after(self.fleet_size()),
-            counts_for,
+            silent_after: pace::failure_timeout(self.fleet_size()),
+            unreported_timeout: counts_for,
         }
     }
 
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -149,7 +149,7 @@
         let (is_discovering, longest) = match start {
             FleetStart::First => (now.0 < DISCOVERY_TIME, MAX_SETTLE_FIRST_START),
             FleetStart::Later => {
-                let waits = knows_none && !self.unheard.is_empty();
+                let waits = knows_none && !self.unconfirmed_addresses.is_empty();
                 (now.0 < FIRST_CONTACT_WAIT && waits, MAX_SETTLE_LATER_START)
             }
         };
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -132,24 +132,24 @@
 #[derive(Debug)]
 pub(super) struct ComparisonState {
     /// Time of the last change in the membership.
-    news_at: Instant,
+    last_change_at: Instant,
     /// Highest number of routers that a peer reported.
     routers_reported: u32,
     /// Address of a hub whose roll differs from what is known here.
     differs_from: Option<SocketAddr>,
     turn: u64,
-    records_left: f64,
+    record_budget: f64,
     refilled: Instant,
 }
 
 impl Default for ComparisonState {
     fn default() -> Self {
         Self {
-            news_at: Instant::default(),
+            last_change_at: Instant::default(),
             routers_reported: 0,
             differs_from: None,
             turn: 0,
-            records_left: MAX_RECORD_BURST,
+            record_budget: MAX_RECORD_BURST,
             refilled: Instant::default(),
         }
     }
@@ -157,7 +157,7 @@
 
 impl ComparisonState {
     pub(super) fn note_change(&mut self, now: Instant) {
-        self.news_at = now;
+        self.last_change_at = now;
     }
 
     pub(super) fn on_difference(&mut self, from: SocketAddr) {
@@ -168,9 +168,9 @@
     fn take_record_budget(&mut self, now: Instant, wanted: usize) -> usize {
         let more = now.since(self.refilled).as_secs_f64() * MAX_RECORDS_PER_SECOND;
         self.refilled = now;
-        self.records_left = (self.records_left + more).min(MAX_RECORD_BURST);
-        let taken = wanted.min(self.records_left as usize);
-        self.records_left -= taken as f64;
+        self.record_budget = (self.record_budget + more).min(MAX_RECORD_BURST);
+        let taken = wanted.min(self.record_budget as usize);
+        self.record_budget -= taken as f64;
         taken
     }
 }
@@ -187,7 +187,7 @@
 impl Peers {
     /// Returns the interval until the next comparison.
     pub fn compare_interval(&self, now: Instant) -> Duration {
-        let is_learning = !self.is_settled(now) || self.comparing.differs_from.is_some();
+        let is_learning = !self.is_settled(now) || self.comparison.differs_from.is_some();
         match is_learning {
             true => COMPARE_INTERVAL_LEARNING,
             false => COMPARE_INTERVAL,
@@ -196,20 +196,20 @@
 
     /// Whether the membership has not changed recently.
     pub fn is_settled(&self, now: Instant) -> bool {
-        now.since(self.comparing.news_at) >= SETTLE_TIME
+        now.since(self.comparison.last_change_at) >= SETTLE_TIME
     }
 
     /// Returns the number of routers in the fleet, as known here or reported by a peer, whichever
     /// is higher.
     pub fn fleet_size(&self) -> usize {
-        (self.heard.len() + 1).max(self.comparing.routers_reported as usize)
+        (self.heard.len() + 1).max(self.comparison.routers_reported as usize)
     }
 
     /// Returns the router to compare with next: a hub whose roll differs, or a random router.
     pub fn comparison_peer(&mut self, now: Instant) -> Option<Receiver> {
-        self.comparing.turn += 1;
-        let turn = self.comparing.turn;
-        if let Some(hub) = self.comparing.differs_from.take() {
+        self.comparison.turn += 1;
+        let turn = self.comparison.turn;
+        if let Some(hub) = self.comparison.differs_from.take() {
             let known = self.heard.iter().find(|(_, p)| p.address == hub);
             return known.map(Receiver::of);
         }
@@ -223,7 +223,10 @@
             .iter()
             .filter(|(_, p)| is_candidate(p))
             .map(Receiver::of);
-        let unheard = self.unheard.keys().map(|address| Receiver::at(*address));
+        let unheard = self
+            .unconfirmed_addresses
+            .keys()
+            .map(|address| Receiver::at(*address));
         let mut candidates: Vec<Receiver> = living.chain(unheard).collect();
         if candidates.is_empty() {
             let all = self.heard.iter().filter(|(_, p)| self.is_alive(now, p));
@@ -250,7 +253,7 @@
     pub fn answer(&mut self, now: Instant, datagram: &Datagram) -> Option<Exchange> {
         match datagram.exchange.as_ref()? {
             Exchange::Compare { digest, routers } => {
-                self.comparing.routers_reported = self.comparing.routers_reported.max(*routers);
+                self.comparison.routers_reported = self.comparison.routers_reported.max(*routers);
                 let Exchange::Compare { digest: own, .. } = self.compare() else {
                     return None;
                 };
@@ -260,7 +263,7 @@
                 })
             }
             Exchange::Differ { buckets, routers } => {
-                self.comparing.routers_reported = self.comparing.routers_reported.max(*routers);
+                self.comparison.routers_reported = self.comparison.routers_reported.max(*routers);
                 Some(Exchange::Reply {
                     records: self.differing_records(now, buckets),
                     buckets: self.buckets(),
@@ -300,7 +303,7 @@
     /// Applies one record; returns whether the router became alive.
     fn on_record(&mut self, now: Instant, record: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
-        let silent_after = pace::silent_after(self.fleet_size());
+        let silent_after = pace::failure_timeout(self.fleet_size());
         let known = self.heard.get_mut(&record.vm);
         match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
@@ -314,11 +317,11 @@
                 let at = ago(heard_ms).before(REPORTED_AGE_MARGIN);
                 peer.reported_heard = peer.reported_heard.max(Some(at));
                 let is_back = peer
-                    .gone_at
+                    .down_since
                     .is_some_and(|gone| at > gone + DOWN_REPORT_TOLERANCE);
                 let revived = is_back && !peer.stopping;
                 if revived {
-                    peer.gone_at = None;
+                    peer.down_since = None;
                     self.on_change(now, &record.vm);
                 }
                 revived
@@ -329,9 +332,9 @@
                 // other's hubs for down.
                 let is_active = peer.has_sent() && now.since(peer.heard) < silent_after;
                 let is_older = peer.last_heartbeat() <= since + DOWN_REPORT_TOLERANCE;
-                let is_new = peer.gone_at.is_none() && is_older && !is_active;
+                let is_new = peer.down_since.is_none() && is_older && !is_active;
                 if is_new {
-                    peer.gone_at = Some(since);
+                    peer.down_since = Some(since);
                     self.on_change(now, &record.vm);
                 }
                 false
@@ -342,7 +345,7 @@
                 let former = peer.incarnation();
                 let added = self.add(now, record, ago(heard_ms), None);
                 if let Some(peer) = self.heard.get_mut(&record.vm) {
-                    peer.former_life = Some(former);
+                    peer.former_incarnation = Some(former);
                 }
                 added
             }
@@ -362,7 +365,7 @@
         }
         let peer = Peer::from_record(record, now, heard, gone_at);
         self.heard.insert(record.vm.clone(), peer);
-        self.unheard.remove(&record.address);
+        self.unconfirmed_addresses.remove(&record.address);
         self.on_change(now, &record.vm);
         gone_at.is_none()
     }
@@ -372,8 +375,8 @@
     fn differing_records(&mut self, now: Instant, theirs: &[u32]) -> Vec<MemberRecord> {
         let own = self.buckets();
         let differs = |b: usize| theirs.get(b) != Some(&own[b]);
-        let first = self.comparing.turn as usize * 31 + VmHash::from(&self.me).spread();
-        self.comparing.turn += 1;
+        let first = self.comparison.turn as usize * 31 + VmHash::from(&self.me).spread();
+        self.comparison.turn += 1;
         let from_first = |vm: &VmId| (bucket(vm) + first) % BUCKETS;
         let differing = self.heard.iter().filter(|(vm, _)| differs(bucket(vm)));
         let mut records: Vec<MemberRecord> = differing.map(|(vm, p)| record(now, vm, p)).collect();
@@ -382,7 +385,7 @@
         if differs(bucket(&self.me)) {
             records.insert(0, self.own_record());
         }
-        let n = self.comparing.take_record_budget(now, records.len());
+        let n = self.comparison.take_record_budget(now, records.len());
         records.truncate(n);
         records
     }
@@ -409,7 +412,7 @@
     /// Returns the incarnations that digests cover: all that no peer reported as down, this router
     /// included.
     pub(super) fn digest_members(&self) -> impl Iterator<Item = (&VmId, Incarnation)> {
-        let others = self.heard.iter().filter(|(_, p)| p.gone_at.is_none());
+        let others = self.heard.iter().filter(|(_, p)| p.down_since.is_none());
         let others = others.map(|(vm, p)| (vm, p.incarnation()));
         others.chain(std::iter::once((&self.me, self.life)))
     }
@@ -419,7 +422,7 @@
         if let Some(peer) = self.heard.get_mut(vm) {
             peer.changed_at = now;
         }
-        self.comparing.note_change(now);
+        self.comparison.note_change(now);
         self.hubs.borrow_mut().invalidate();
     }
 }
@@ -432,7 +435,7 @@
         strength: peer.strength,
         address: peer.address,
         life: peer.incarnation(),
-        state: match peer.gone_at {
+        state: match peer.down_since {
             Some(at) => RecordState::Down { since_ms: ms(at) },
             None => RecordState::Alive {
                 heard_ms: ms(peer.last_heartbeat()),
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -133,24 +133,24 @@
         Datagram {
             vm: vm(i),
             hall,
-            strength: CapacityClass::new(100.0, 0.5),
+            capacity: CapacityClass::new(100.0, 0.5),
             number: router.number,
             sent: Stamp {
-                life: Incarnation(router.life),
+                incarnation: Incarnation(router.life),
                 micros: now.0.as_micros() as u64,
             },
             echo: None,
             config: None,
-            readers: Vec::new(),
-            mirror: StoreRevision::first_era(0),
-            store_back: None,
+            reader_ages: Vec::new(),
+            mirror_revision: StoreRevision::first_era(0),
+            store_regained_ms: None,
             calls: 0,
             stopping: router.stopping,
             load: None,
             halls: Vec::new(),
             outages: Vec::new(),
             endings: Vec::new(),
-            held: Vec::new(),
+            held_requests: Vec::new(),
             rolls: Vec::new(),
             exchange: None,
             rates: Vec::new(),
@@ -179,8 +179,11 @@
         }
         for to in router.peers.frequent_receivers(now) {
             let is_near = to.hall.as_ref() == Some(&told.hall);
-            told.rolls
-                .clone_from(if is_near { &rolls.near } else { &rolls.far });
+            told.rolls.clone_from(if is_near {
+                &rolls.for_own_hall
+            } else {
+                &rolls.for_other_halls
+            });
             self.send(i, to.address, &told);
         }
     }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -39,24 +39,24 @@
     Datagram {
         vm: vm(from),
         hall: hall(from),
-        strength: CapacityClass::new(100.0, 0.5),
+        capacity: CapacityClass::new(100.0, 0.5),
         number,
         sent: Stamp {
-            life: Incarnation(1),
+            incarnation: Incarnation(1),
             micros: number,
         },
         echo: None,
         config: None,
-        readers: Vec::new(),
-        mirror: StoreRevision::first_era(0),
-        store_back: None,
+        reader_ages: Vec::new(),
+        mirror_revision: StoreRevision::first_era(0),
+        store_regained_ms: None,
         calls: 0,
         stopping: false,
         load: None,
         halls: Vec::new(),
         outages: Vec::new(),
         endings: Vec::new(),
-        held: Vec::new(),
+        held_requests: Vec::new(),
         rolls: Vec::new(),
         exchange: None,
         rates: Vec::new(),
@@ -110,7 +110,7 @@
     let mut seen = peers(0);
     hear(&mut seen, at(0), &datagram(1, 9));
     let mut reborn = datagram(1, 1);
-    reborn.sent.life = Incarnation(2);
+    reborn.sent.incarnation = Incarnation(2);
     assert_eq!(hear(&mut seen, at(10), &reborn), DatagramEffect::Joined);
     assert_eq!(
         hear(&mut seen, at(20), &datagram(1, 10)),
@@ -133,12 +133,12 @@
         "it answers nothing of ours"
     );
     told.echo = Some(Stamp {
-        life: Incarnation(7),
+        incarnation: Incarnation(7),
         micros: 5,
     });
     assert!(seen.config_confirmation(&told).is_none());
     told.echo = Some(Stamp {
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         micros: 5_000_000,
     });
     assert_eq!(seen.config_confirmation(&told).unwrap().echo, at(5_000));
@@ -155,7 +155,7 @@
 fn a_reader_without_recent_word_from_the_store_is_not_asked() {
     let mut seen = peers(0);
     let told = Datagram {
-        readers: vec![(vm(1), 200)],
+        reader_ages: vec![(vm(1), 200)],
         ..datagram(1, 1)
     };
     hear(&mut seen, at(1_000), &told);
@@ -183,7 +183,7 @@
     for (me, mut seen) in fleet.into_iter().enumerate() {
         for other in (0..n).filter(|o| *o != me) {
             let told = Datagram {
-                readers: words.clone(),
+                reader_ages: words.clone(),
                 ..datagram(other, 2)
             };
             hear(&mut seen, at(1_000), &told);
@@ -216,7 +216,7 @@
     assert_eq!(seen.next_read(at(2_000), &state), NextRead::Wait);
     assert_eq!(seen.next_read(at(4_000), &state), NextRead::Store);
     let told = Datagram {
-        readers: vec![(vm(reader), 10)],
+        reader_ages: vec![(vm(reader), 10)],
         ..datagram(reader, 2)
     };
     hear(seen, at(2_000), &told);
@@ -329,7 +329,7 @@
             let mut seen = seen;
             for other in (0..n).filter(|o| *o != me) {
                 let told = Datagram {
-                    strength: strength(other),
+                    capacity: strength(other),
                     ..datagram(other, 1)
                 };
                 hear(&mut seen, at(0), &told);
@@ -371,10 +371,10 @@
 fn a_new_life_joins_also_after_its_clock_was_set_back() {
     let mut seen = peers(0);
     let mut old = datagram(1, 9);
-    old.sent.life = Incarnation(20_000);
+    old.sent.incarnation = Incarnation(20_000);
     hear(&mut seen, at(0), &old);
     let mut reborn = datagram(1, 1);
-    reborn.sent.life = Incarnation(5_000);
+    reborn.sent.incarnation = Incarnation(5_000);
     // One of the old life's datagrams may still be on its way, so the new one waits a moment.
     assert_eq!(hear(&mut seen, at(100), &reborn), DatagramEffect::Outdated);
     reborn.number = 2;
