--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -148,7 +148,7 @@
         };
         told.rates = of_halls.iter().chain(&rates.own).cloned().collect();
         told.halls.clone_from(halls);
-        told.rolls.clone_from(rolls);
+        told.member_digests.clone_from(rolls);
         send_to(cx, udp, &told, to.address);
     }
 }
@@ -245,7 +245,7 @@
         outages: cx.dispatcher.borrow().health.outages.notices(now),
         endings: cx.dispatcher.borrow().quarantine.crash_notices(now),
         held_requests: cx.dispatcher.borrow().quarantine.quarantine_notices(now),
-        rolls: Vec::new(),
+        member_digests: Vec::new(),
         exchange: None,
         rates: Vec::new(),
         mirror_revision: cx.mirror.borrow().revision(),
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -119,7 +119,7 @@
     /// receivers. Empty unless the sender aggregates the counts of its data hall.
     pub halls: Vec<u8>,
     /// Membership summary of each data hall, as its hub sees it; empty unless the sender is a hub.
-    pub rolls: Vec<MemberDigest>,
+    pub member_digests: Vec<MemberDigest>,
     /// Step of a membership comparison.
     pub exchange: Option<Exchange>,
     /// Request rates of accounts; usually empty.
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -95,7 +95,7 @@
             let at = self.failed_sources.get(address);
             at.is_some_and(|at| now.since(*at) < PARENT_RETRY_INTERVAL)
         };
-        let addresses = candidates.filter_map(|vm| self.heard.get(vm).map(|p| p.address));
+        let addresses = candidates.filter_map(|vm| self.by_vm.get(vm).map(|p| p.address));
         addresses.into_iter().find(|address| !is_paused(address))
     }
 
@@ -103,8 +103,8 @@
     /// too few.
     fn feeders_of(&self, now: Instant, hall: &DataHall) -> Vec<&VmId> {
         let others = self.live_members(now).filter(|(_, p)| p.hall == *hall);
-        let others = others.map(|(vm, p)| (vm, p.strength));
-        let me = (*hall == self.hall).then_some((&self.me, self.strength));
+        let others = others.map(|(vm, p)| (vm, p.capacity));
+        let me = (*hall == self.hall).then_some((&self.me, self.capacity));
         let here: Vec<_> = others.chain(me).collect();
         let wanted = here.len().div_ceil(ROUTERS_PER_FEEDER);
         let strongest = here.iter().map(|(_, strength)| *strength).max();
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -95,7 +95,7 @@
     /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
     /// seconds.
     pub fn hub_digests(&mut self, now: Instant, own_calls: u32) -> HubDigests {
-        let near = self.heard.values().filter(|p| p.hall == self.hall);
+        let near = self.by_vm.values().filter(|p| p.hall == self.hall);
         let calls = near.map(|p| p.calls).sum::<u32>() + own_calls;
         let own = KnownDigest {
             at: now,
@@ -135,7 +135,7 @@
             match self.hall_digest(&received.hall) == received.digest {
                 true => self.confirm_alive(&received.hall, at),
                 false => {
-                    let from = self.heard.get(from).map(|p| p.address);
+                    let from = self.by_vm.get(from).map(|p| p.address);
                     from.into_iter()
                         .for_each(|a| self.comparison.on_difference(a));
                 }
@@ -145,14 +145,14 @@
 
     /// Records that all routers that count as alive in a data hall sent a heartbeat.
     fn confirm_alive(&mut self, hall: &DataHall, at: Instant) {
-        let here = self.heard.values_mut().filter(|p| p.hall == *hall);
+        let here = self.by_vm.values_mut().filter(|p| p.hall == *hall);
         for peer in here.filter(|p| p.down_since.is_none()) {
             peer.reported_heard = peer.reported_heard.max(Some(at));
         }
     }
 
     fn hall_digest(&self, hall: &DataHall) -> u64 {
-        let is_here = |vm: &VmId| self.heard.get(vm).map_or(&self.hall, |p| &p.hall) == hall;
+        let is_here = |vm: &VmId| self.by_vm.get(vm).map_or(&self.hall, |p| &p.hall) == hall;
         let here = self.digest_members().filter(|(vm, _)| is_here(vm));
         here.fold(0, |all, (vm, life)| all ^ life_hash(vm, life))
     }
@@ -190,7 +190,7 @@
         let watched: Vec<VmId> = {
             let mut watched = self.monitored(now);
             watched.retain(|vm| {
-                self.heard.get(vm).is_some_and(|p| {
+                self.by_vm.get(vm).is_some_and(|p| {
                     let heard = p.heard.max(since).max(p.monitored_since.unwrap_or(now));
                     now.since(heard) >= silent_after.mul_f64(self.silence_factor(now, p))
                 })
@@ -198,7 +198,7 @@
             watched
         };
         for vm in watched {
-            if let Some(peer) = self.heard.get_mut(&vm) {
+            if let Some(peer) = self.by_vm.get_mut(&vm) {
                 peer.down_since = Some(now);
             }
             self.on_change(now, &vm);
@@ -219,7 +219,7 @@
     /// Records since when this router monitors each other one.
     fn update_monitored(&mut self, now: Instant) {
         let watched = self.monitored(now);
-        for (vm, peer) in &mut self.heard {
+        for (vm, peer) in &mut self.by_vm {
             peer.monitored_since = match watched.binary_search(vm) {
                 Ok(_) => peer.monitored_since.or(Some(now)),
                 Err(_) => None,
@@ -237,7 +237,7 @@
         let own_hubs = self.hubs_of(now, &self.hall);
         let mut watched: Vec<VmId> = match own_hubs.contains(&self.me) {
             true => {
-                let near = self.heard.iter().filter(|(_, p)| p.hall == self.hall);
+                let near = self.by_vm.iter().filter(|(_, p)| p.hall == self.hall);
                 near.map(|(vm, _)| vm.clone()).collect()
             }
             false => {
@@ -253,7 +253,7 @@
         }
         // Includes routers that only this one takes for dead: its roll covers all that no hub
         // reported as down.
-        let is_counted = |vm: &VmId| self.heard.get(vm).is_some_and(|p| p.down_since.is_none());
+        let is_counted = |vm: &VmId| self.by_vm.get(vm).is_some_and(|p| p.down_since.is_none());
         watched.retain(is_counted);
         watched.sort_unstable();
         watched.dedup();
@@ -271,7 +271,7 @@
         }
         let were_alive: Vec<VmId> = self.live_names(before).cloned().collect();
         for vm in were_alive {
-            if let Some(peer) = self.heard.get_mut(&vm) {
+            if let Some(peer) = self.by_vm.get_mut(&vm) {
                 peer.heard = now.before(before.since(peer.last_heartbeat()));
             }
         }
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -77,12 +77,12 @@
     }
 
     fn receiver(&self, vm: &VmId) -> Option<Receiver> {
-        self.heard.get_key_value(vm).map(Receiver::of)
+        self.by_vm.get_key_value(vm).map(Receiver::of)
     }
 
     pub(super) fn is_hub_silent(&self, now: Instant, hub: &VmId) -> bool {
         let silent_after = pace::hub_timeout(self.fleet_size());
-        let peer = self.heard.get(hub);
+        let peer = self.by_vm.get(hub);
         peer.is_none_or(|p| now.since(p.heard) >= silent_after)
     }
 
@@ -110,8 +110,8 @@
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (&VmId, CapacityClass)> {
-        let others = self.live_members(now).map(|(vm, p)| (vm, p.strength));
-        others.chain(std::iter::once((&self.me, self.strength)))
+        let others = self.live_members(now).map(|(vm, p)| (vm, p.capacity));
+        others.chain(std::iter::once((&self.me, self.capacity)))
     }
 
     /// Returns the hubs that aggregate for the other data halls: the first one of each, and the
@@ -159,12 +159,12 @@
             halls
                 .entry(&peer.hall)
                 .or_default()
-                .push((vm, peer.strength));
+                .push((vm, peer.capacity));
         }
         halls
             .entry(&self.hall)
             .or_default()
-            .push((&self.me, self.strength));
+            .push((&self.me, self.capacity));
         let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, CapacityClass)>)| {
             let hubs = Self::keepers_by_capacity("hub", routers.into_iter(), HUBS_PER_HALL);
             (hall.clone(), hubs.into_iter().cloned().collect())
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SilenceLimits {
     /// Limit towards the routers that monitor it.
-    pub(super) silent_after: Duration,
+    pub(super) failure_timeout: Duration,
     /// Limit if no router reports it as down.
     pub(super) unreported_timeout: Duration,
 }
@@ -34,7 +34,7 @@
 pub(super) struct Peer {
     pub(super) address: SocketAddr,
     pub(super) hall: DataHall,
-    pub(super) strength: CapacityClass,
+    pub(super) capacity: CapacityClass,
     pub(super) hash: VmHash,
     /// When its last datagram arrived; before the first one, when others last received a heartbeat
     /// of it.
@@ -57,7 +57,7 @@
     pub(super) number: u64,
     pub(super) calls: u32,
     pub(super) stopping: bool,
-    pub(super) mirror: StoreRevision,
+    pub(super) mirror_revision: StoreRevision,
     /// When the peer last received an answer from the store, if it reads it.
     pub(super) store_heard: Option<Instant>,
 }
@@ -78,7 +78,7 @@
         Self {
             address: from,
             hall: datagram.hall.clone(),
-            strength: datagram.capacity,
+            capacity: datagram.capacity,
             hash: VmHash::from(&datagram.vm),
             heard: now,
             reported_heard: None,
@@ -94,7 +94,7 @@
             number: datagram.number,
             calls: datagram.calls,
             stopping: datagram.stopping,
-            mirror: datagram.mirror_revision,
+            mirror_revision: datagram.mirror_revision,
             store_heard: before.and_then(|p| p.store_heard),
         }
     }
@@ -110,7 +110,7 @@
         Self {
             address: record.address,
             hall: record.hall.clone(),
-            strength: record.strength,
+            capacity: record.capacity,
             hash: VmHash::from(&record.vm),
             heard,
             reported_heard: None,
@@ -119,14 +119,14 @@
             monitored_since: None,
             unreachable_at: None,
             stamp: Stamp {
-                incarnation: record.life,
+                incarnation: record.incarnation,
                 micros: 0,
             },
             former_incarnation: None,
             number: 0,
             calls: 0,
             stopping: false,
-            mirror: StoreRevision::default(),
+            mirror_revision: StoreRevision::default(),
             store_heard: None,
         }
     }
@@ -170,7 +170,7 @@
     /// most.
     pub(super) fn lives(&self, now: Instant, limits: SilenceLimits) -> bool {
         let heartbeat = self.last_heartbeat();
-        let is_back = |at: Instant| heartbeat > at + limits.silent_after;
+        let is_back = |at: Instant| heartbeat > at + limits.failure_timeout;
         let is_reachable = self.unreachable_at.is_none_or(is_back);
         let is_down = self.stopping || self.down_since.is_some();
         !is_down && is_reachable && now.since(heartbeat) < limits.unreported_timeout
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -56,10 +56,10 @@
 pub struct Peers {
     pub(super) me: VmId,
     pub(super) hall: DataHall,
-    pub(super) strength: CapacityClass,
-    pub(super) life: Incarnation,
+    pub(super) capacity: CapacityClass,
+    pub(super) incarnation: Incarnation,
     pub(super) own_address: SocketAddr,
-    pub(super) heard: BTreeMap<VmId, Peer>,
+    pub(super) by_vm: BTreeMap<VmId, Peer>,
     pub(super) unconfirmed_addresses: BTreeMap<SocketAddr, Instant>,
     /// Latest roll of each data hall.
     pub(super) digests: BTreeMap<DataHall, KnownDigest>,
@@ -88,10 +88,10 @@
         let mut peers = Self {
             me,
             hall,
-            strength,
-            life,
+            capacity: strength,
+            incarnation: life,
             own_address,
-            heard: BTreeMap::new(),
+            by_vm: BTreeMap::new(),
             unconfirmed_addresses: BTreeMap::new(),
             digests: BTreeMap::new(),
             comparison: ComparisonState::default(),
@@ -109,7 +109,7 @@
 
     /// Adds an address at which a router may be reached.
     pub fn add_address(&mut self, now: Instant, address: SocketAddr) {
-        let known = self.heard.values().any(|p| p.address == address);
+        let known = self.by_vm.values().any(|p| p.address == address);
         if !known && address != self.own_address {
             self.unconfirmed_addresses.entry(address).or_insert(now);
         }
@@ -125,7 +125,7 @@
         if datagram.vm == self.me {
             return DatagramEffect::Outdated;
         }
-        let before = self.heard.get(&datagram.vm);
+        let before = self.by_vm.get(&datagram.vm);
         let was_alive = before.is_some_and(|p| p.lives(now, self.silence_limits()));
         let heard = match before {
             Some(p)
@@ -147,12 +147,12 @@
         };
         let peer = Peer::from_datagram(now, from, datagram, before);
         let is_change = was_alive == datagram.stopping || heard == DatagramEffect::Joined;
-        self.heard.insert(datagram.vm.clone(), peer);
+        self.by_vm.insert(datagram.vm.clone(), peer);
         if is_change {
             self.on_change(now, &datagram.vm);
         }
         self.on_store_readers(now, &datagram.reader_ages);
-        self.on_member_digests(now, &datagram.vm, &datagram.rolls);
+        self.on_member_digests(now, &datagram.vm, &datagram.member_digests);
         self.unconfirmed_addresses.remove(&from);
         heard
     }
@@ -160,7 +160,7 @@
     /// Marks a router that did not answer a call as down until it sends a datagram or others report
     /// a later heartbeat.
     pub fn on_unreachable(&mut self, now: Instant, address: SocketAddr) {
-        for peer in self.heard.values_mut().filter(|p| p.address == address) {
+        for peer in self.by_vm.values_mut().filter(|p| p.address == address) {
             peer.unreachable_at = Some(now);
         }
         self.hubs.borrow_mut().invalidate();
@@ -171,7 +171,7 @@
     pub fn config_confirmation(&self, datagram: &Datagram) -> Option<PeerConfirmation> {
         let echo = datagram
             .echo
-            .filter(|stamp| stamp.incarnation == self.life)?;
+            .filter(|stamp| stamp.incarnation == self.incarnation)?;
         let (version, age_ms) = datagram.config?;
         Some(PeerConfirmation {
             echo: Instant(Duration::from_micros(echo.micros)),
@@ -182,7 +182,7 @@
 
     /// Returns all known peers and all addresses where one may be.
     pub fn all_receivers(&self) -> Vec<Receiver> {
-        let heard = self.heard.iter().map(Receiver::of);
+        let heard = self.by_vm.iter().map(Receiver::of);
         let unheard = self
             .unconfirmed_addresses
             .keys()
@@ -196,7 +196,7 @@
         self.reset_after_stall(before, now);
         self.detect_failures(now);
         let keep = |since: Instant| now.since(since) < ADDRESS_TTL;
-        self.heard.retain(|_, p| keep(p.last_heartbeat()));
+        self.by_vm.retain(|_, p| keep(p.last_heartbeat()));
         self.unconfirmed_addresses.retain(|_, since| keep(*since));
     }
 
@@ -211,7 +211,7 @@
     pub fn take_sync_duty(&mut self, now: Instant, joined: &VmId) -> bool {
         self.synced
             .retain(|_, (_, at)| now.since(*at) < MIN_SYNC_INTERVAL);
-        let Some(life) = self.heard.get(joined).map(Peer::incarnation) else {
+        let Some(life) = self.by_vm.get(joined).map(Peer::incarnation) else {
             return false;
         };
         let was_sent = self.synced.get(joined).is_some_and(|(l, _)| *l == life);
@@ -230,7 +230,7 @@
     /// Returns the address of the router that is the keeper of `thing`; `None` if it is this one.
     pub fn owner_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
         let keeper = owner(key, self.live_names(now))?;
-        self.heard.get(keeper).map(|p| p.address)
+        self.by_vm.get(keeper).map(|p| p.address)
     }
 
     /// Returns all other known routers, each with its data hall and state.
@@ -246,7 +246,7 @@
             },
             silent_ms: now.since(p.last_heartbeat()).as_millis() as u64,
         };
-        self.heard.iter().map(member).collect()
+        self.by_vm.iter().map(member).collect()
     }
 
     /// Returns the addresses of the other live routers.
@@ -256,7 +256,7 @@
 
     /// Returns the address of a router.
     pub fn address_of(&self, vm: &VmId) -> Option<SocketAddr> {
-        self.heard.get(vm).map(|p| p.address)
+        self.by_vm.get(vm).map(|p| p.address)
     }
 
     /// Returns the names of all live routers, this one included.
@@ -294,12 +294,12 @@
     /// Returns the limits on the silence of a router. In a small fleet every router receives
     /// heartbeats from every other.
     fn silence_limits(&self) -> SilenceLimits {
-        let counts_for = match self.heard.len() + 1 < MIN_LARGE_FLEET {
+        let counts_for = match self.by_vm.len() + 1 < MIN_LARGE_FLEET {
             true => SMALL_FLEET_TIMEOUT,
             false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_timeout()),
         };
         SilenceLimits {
-            silent_after: pace::failure_timeout(self.fleet_size()),
+            failure_timeout: pace::failure_timeout(self.fleet_size()),
             unreported_timeout: counts_for,
         }
     }
@@ -314,7 +314,7 @@
 
     pub(super) fn live_members(&self, now: Instant) -> impl Iterator<Item = (&VmId, &Peer)> {
         let silence = self.silence_limits();
-        let all = self.heard.iter();
+        let all = self.by_vm.iter();
         all.filter(move |(_, p)| p.lives(now, silence))
     }
 }
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -145,7 +145,7 @@
 
     /// Whether this router has just started and is still discovering the others.
     fn is_discovering(&self, now: Instant, start: FleetStart) -> bool {
-        let knows_none = self.heard.is_empty();
+        let knows_none = self.by_vm.is_empty();
         let (is_discovering, longest) = match start {
             FleetStart::First => (now.0 < DISCOVERY_TIME, MAX_SETTLE_FIRST_START),
             FleetStart::Later => {
@@ -188,7 +188,7 @@
     pub fn choose_reader(&self, now: Instant) -> Option<SocketAddr> {
         let acting = self.acting_readers(now, None);
         let chosen = owner(self.me.as_str(), acting.into_iter())?;
-        self.heard.get(chosen).map(|p| p.address)
+        self.by_vm.get(chosen).map(|p| p.address)
     }
 
     /// Returns the acting readers, each with the time since its last answer from the store, in
@@ -203,20 +203,22 @@
             now.since(heard).as_millis() as u32
         };
         let acting = self.acting_readers(now, None).into_iter();
-        let ages = acting.filter_map(|vm| self.heard.get(vm).map(|p| (vm.clone(), age(p))));
+        let ages = acting.filter_map(|vm| self.by_vm.get(vm).map(|p| (vm.clone(), age(p))));
         ages.collect()
     }
 
     /// Returns the peer with the highest store revision, if it is beyond `revision`.
     pub fn peer_ahead_of(&self, now: Instant, revision: StoreRevision) -> Option<SocketAddr> {
-        let ahead = self.live_peers(now).filter(|p| p.mirror > revision);
-        ahead.max_by_key(|p| p.mirror).map(|p| p.address)
+        let ahead = self
+            .live_peers(now)
+            .filter(|p| p.mirror_revision > revision);
+        ahead.max_by_key(|p| p.mirror_revision).map(|p| p.address)
     }
 
     /// Returns the store revision that a peer announced: it has every change up to it.
     pub fn mirror_revision_of(&self, address: SocketAddr) -> Option<StoreRevision> {
-        let peer = self.heard.values().find(|p| p.address == address);
-        peer.map(|p| p.mirror)
+        let peer = self.by_vm.values().find(|p| p.address == address);
+        peer.map(|p| p.mirror_revision)
     }
 
     /// Applies a peer's report of when readers last received an answer from the store.
@@ -224,7 +226,7 @@
         for (reader, age_ms) in ages {
             let age = Duration::from_millis(u64::from(*age_ms));
             let heard = Instant(now.0.saturating_sub(age));
-            if let Some(peer) = self.heard.get_mut(reader) {
+            if let Some(peer) = self.by_vm.get_mut(reader) {
                 peer.store_heard = peer.store_heard.max(Some(heard));
             }
         }
@@ -238,9 +240,9 @@
     /// included if given; if there are none, a few other routers that did.
     fn acting_readers<'a>(&'a self, now: Instant, me: Option<&'a VmId>) -> Vec<&'a VmId> {
         let fresh = |(_, p): &(&VmId, &Peer)| self.is_fresh_reader(now, p);
-        let fresh = self.heard.iter().filter(fresh);
-        let fresh = fresh.map(|(vm, p)| (vm, p.strength));
-        let fresh: Vec<_> = fresh.chain(me.map(|me| (me, self.strength))).collect();
+        let fresh = self.by_vm.iter().filter(fresh);
+        let fresh = fresh.map(|(vm, p)| (vm, p.capacity));
+        let fresh: Vec<_> = fresh.chain(me.map(|me| (me, self.capacity))).collect();
         let mut acting = self.designated_readers(now);
         acting.retain(|vm| fresh.iter().any(|(f, _)| f == vm));
         match acting.is_empty() {
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -76,11 +76,11 @@
     /// Its data hall.
     pub hall: DataHall,
     /// Its capacity class.
-    pub strength: CapacityClass,
+    pub capacity: CapacityClass,
     /// Address at which its peers reach it.
     pub address: SocketAddr,
     /// Its incarnation.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Whether it is alive.
     pub state: RecordState,
 }
@@ -202,7 +202,7 @@
     /// Returns the number of routers in the fleet, as known here or reported by a peer, whichever
     /// is higher.
     pub fn fleet_size(&self) -> usize {
-        (self.heard.len() + 1).max(self.comparison.routers_reported as usize)
+        (self.by_vm.len() + 1).max(self.comparison.routers_reported as usize)
     }
 
     /// Returns the router to compare with next: a hub whose roll differs, or a random router.
@@ -210,7 +210,7 @@
         self.comparison.turn += 1;
         let turn = self.comparison.turn;
         if let Some(hub) = self.comparison.differs_from.take() {
-            let known = self.heard.iter().find(|(_, p)| p.address == hub);
+            let known = self.by_vm.iter().find(|(_, p)| p.address == hub);
             return known.map(Receiver::of);
         }
         let tries_gone = turn.is_multiple_of(COMPARISONS_PER_DOWN_PEER);
@@ -219,7 +219,7 @@
         let is_candidate =
             |p: &Peer| is_near(p) && self.is_alive(now, p) != tries_gone && !p.stopping;
         let living = self
-            .heard
+            .by_vm
             .iter()
             .filter(|(_, p)| is_candidate(p))
             .map(Receiver::of);
@@ -229,7 +229,7 @@
             .map(|address| Receiver::at(*address));
         let mut candidates: Vec<Receiver> = living.chain(unheard).collect();
         if candidates.is_empty() {
-            let all = self.heard.iter().filter(|(_, p)| self.is_alive(now, p));
+            let all = self.by_vm.iter().filter(|(_, p)| self.is_alive(now, p));
             candidates = all.map(Receiver::of).collect();
         }
         let draw = xxh3_64_with_seed(&turn.to_le_bytes(), VmHash::from(&self.me).spread() as u64);
@@ -281,7 +281,7 @@
     pub fn recent_changes(&self, now: Instant) -> Vec<MemberRecord> {
         let is_recent = |p: &&Peer| now.since(p.changed_at) < CHANGE_REPEAT_TIME;
         let mut changed: Vec<(&VmId, &Peer)> =
-            self.heard.iter().filter(|(_, p)| is_recent(p)).collect();
+            self.by_vm.iter().filter(|(_, p)| is_recent(p)).collect();
         changed.sort_unstable_by_key(|(_, p)| std::cmp::Reverse(p.changed_at));
         changed.truncate(MAX_RECORDS_PER_DATAGRAM);
         let records = changed.into_iter();
@@ -304,7 +304,7 @@
     fn on_record(&mut self, now: Instant, record: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
         let silent_after = pace::failure_timeout(self.fleet_size());
-        let known = self.heard.get_mut(&record.vm);
+        let known = self.by_vm.get_mut(&record.vm);
         match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
                 self.add(now, record, ago(heard_ms).before(REPORTED_AGE_MARGIN), None)
@@ -313,7 +313,9 @@
                 let since = ago(since_ms);
                 self.add(now, record, since, Some(since))
             }
-            (Some(peer), RecordState::Alive { heard_ms }) if peer.incarnation() == record.life => {
+            (Some(peer), RecordState::Alive { heard_ms })
+                if peer.incarnation() == record.incarnation =>
+            {
                 let at = ago(heard_ms).before(REPORTED_AGE_MARGIN);
                 peer.reported_heard = peer.reported_heard.max(Some(at));
                 let is_back = peer
@@ -326,7 +328,9 @@
                 }
                 revived
             }
-            (Some(peer), RecordState::Down { since_ms }) if peer.incarnation() == record.life => {
+            (Some(peer), RecordState::Down { since_ms })
+                if peer.incarnation() == record.incarnation =>
+            {
                 let since = ago(since_ms);
                 // Where two halls cannot reach each other and a third reaches both, each takes the
                 // other's hubs for down.
@@ -340,11 +344,11 @@
                 false
             }
             (Some(peer), RecordState::Alive { heard_ms })
-                if peer.may_be_succeeded_by(record.life) =>
+                if peer.may_be_succeeded_by(record.incarnation) =>
             {
                 let former = peer.incarnation();
                 let added = self.add(now, record, ago(heard_ms), None);
-                if let Some(peer) = self.heard.get_mut(&record.vm) {
+                if let Some(peer) = self.by_vm.get_mut(&record.vm) {
                     peer.former_incarnation = Some(former);
                 }
                 added
@@ -364,7 +368,7 @@
             return false;
         }
         let peer = Peer::from_record(record, now, heard, gone_at);
-        self.heard.insert(record.vm.clone(), peer);
+        self.by_vm.insert(record.vm.clone(), peer);
         self.unconfirmed_addresses.remove(&record.address);
         self.on_change(now, &record.vm);
         gone_at.is_none()
@@ -378,7 +382,7 @@
         let first = self.comparison.turn as usize * 31 + VmHash::from(&self.me).spread();
         self.comparison.turn += 1;
         let from_first = |vm: &VmId| (bucket(vm) + first) % BUCKETS;
-        let differing = self.heard.iter().filter(|(vm, _)| differs(bucket(vm)));
+        let differing = self.by_vm.iter().filter(|(vm, _)| differs(bucket(vm)));
         let mut records: Vec<MemberRecord> = differing.map(|(vm, p)| record(now, vm, p)).collect();
         records.sort_by_key(|r| from_first(&r.vm));
         records.truncate(MAX_RECORDS_PER_DATAGRAM - 1);
@@ -394,9 +398,9 @@
         MemberRecord {
             vm: self.me.clone(),
             hall: self.hall.clone(),
-            strength: self.strength,
+            capacity: self.capacity,
             address: self.own_address,
-            life: self.life,
+            incarnation: self.incarnation,
             state: RecordState::Alive { heard_ms: 0 },
         }
     }
@@ -412,14 +416,14 @@
     /// Returns the incarnations that digests cover: all that no peer reported as down, this router
     /// included.
     pub(super) fn digest_members(&self) -> impl Iterator<Item = (&VmId, Incarnation)> {
-        let others = self.heard.iter().filter(|(_, p)| p.down_since.is_none());
+        let others = self.by_vm.iter().filter(|(_, p)| p.down_since.is_none());
         let others = others.map(|(vm, p)| (vm, p.incarnation()));
-        others.chain(std::iter::once((&self.me, self.life)))
+        others.chain(std::iter::once((&self.me, self.incarnation)))
     }
 
     /// Records a change in what is known of a router.
     pub(super) fn on_change(&mut self, now: Instant, vm: &VmId) {
-        if let Some(peer) = self.heard.get_mut(vm) {
+        if let Some(peer) = self.by_vm.get_mut(vm) {
             peer.changed_at = now;
         }
         self.comparison.note_change(now);
@@ -432,9 +436,9 @@
     MemberRecord {
         vm: vm.clone(),
         hall: peer.hall.clone(),
-        strength: peer.strength,
+        capacity: peer.capacity,
         address: peer.address,
-        life: peer.incarnation(),
+        incarnation: peer.incarnation(),
         state: match peer.down_since {
             Some(at) => RecordState::Down { since_ms: ms(at) },
             None => RecordState::Alive {
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -46,9 +46,9 @@
     MemberRecord {
         vm: vm(n),
         hall: format!("hall-{}", n % 5).parse().unwrap(),
-        strength: strength(n),
+        capacity: strength(n),
         address: address(n),
-        life: Incarnation(1),
+        incarnation: Incarnation(1),
         state: RecordState::Alive { heard_ms: 0 },
     }
 }
@@ -59,7 +59,7 @@
     Datagram {
         vm: sender.vm,
         hall: sender.hall,
-        capacity: sender.strength,
+        capacity: sender.capacity,
         number: routers as u64,
         sent: Stamp::default(),
         echo: None,
@@ -74,7 +74,7 @@
         outages: Vec::new(),
         endings: Vec::new(),
         held_requests: Vec::new(),
-        rolls: Vec::new(),
+        member_digests: Vec::new(),
         exchange: Some(exchange),
         rates: Vec::new(),
         suspected: Vec::new(),
@@ -85,7 +85,7 @@
 fn alone(me: usize, seeds: &[SocketAddr]) -> Peers {
     let own = record(me);
     let life = Incarnation(1);
-    Peers::new(own.vm, own.hall, own.strength, life, own.address, seeds)
+    Peers::new(own.vm, own.hall, own.capacity, life, own.address, seeds)
 }
 
 /// Each router of a fleet, with all others known to it.
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -151,7 +151,7 @@
             outages: Vec::new(),
             endings: Vec::new(),
             held_requests: Vec::new(),
-            rolls: Vec::new(),
+            member_digests: Vec::new(),
             exchange: None,
             rates: Vec::new(),
             suspected: Vec::new(),
@@ -179,7 +179,7 @@
         }
         for to in router.peers.frequent_receivers(now) {
             let is_near = to.hall.as_ref() == Some(&told.hall);
-            told.rolls.clone_from(if is_near {
+            told.member_digests.clone_from(if is_near {
                 &rolls.for_own_hall
             } else {
                 &rolls.for_other_halls
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -57,7 +57,7 @@
         outages: Vec::new(),
         endings: Vec::new(),
         held_requests: Vec::new(),
-        rolls: Vec::new(),
+        member_digests: Vec::new(),
         exchange: None,
         rates: Vec::new(),
         suspected: Vec::new(),
