--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -19,9 +19,9 @@
     membership::{
         datagram::{Datagram, HallSums, Message, Stamp},
         heartbeats::HubDigests,
-        pace::{HEARTBEAT_INTERVAL, SendContent, SendSchedule},
         peers::DatagramEffect,
         records::Exchange,
+        timing::{HEARTBEAT_INTERVAL, SendContent, SendSchedule},
     },
     prompt_cache::{PartLocation, PromptPart},
     units::Instant,
--- a/src/load_account.rs
+++ b/src/load_account.rs
@@ -18,7 +18,7 @@
     ids::{DataHall, TargetId, VmId},
     membership::{
         datagram::{HallSum, HallSums},
-        pace,
+        timing,
     },
     placement::spread::Survival,
     target_counts::{CallCounts, InProgress, TargetCounts, TargetHash},
@@ -125,7 +125,7 @@
             own_sent: HashMap::new(),
             peers: BTreeMap::new(),
             halls: BTreeMap::new(),
-            hall_ttl: pace::sum_ttl(1),
+            hall_ttl: timing::sum_ttl(1),
             summed_at: Instant::default(),
             others: HashMap::new(),
             others_counted: Instant::default(),
@@ -138,7 +138,7 @@
 
     /// Sets the number of routers in the fleet, which determines how long a sum is used.
     pub fn set_fleet_size(&mut self, routers: usize) {
-        self.hall_ttl = pace::sum_ttl(routers);
+        self.hall_ttl = timing::sum_ttl(routers);
     }
 
     /// Records that a call was sent to a target.
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Failure detection in a fleet where not every router sends heartbeats to every other.
 //!
 //! Routers send heartbeats to the hubs of their data hall several times a second. A hub that has
-//! received nothing from a router for [`pace::failure_timeout`] reports it as down, and the next
+//! received nothing from a router for [`timing::failure_timeout`] reports it as down, and the next
 //! datagrams carry that report to all routers. Every hub also sends a roll: a digest of the live
 //! routers in its data hall. For a router that computes the same digest, the roll is a heartbeat of
 //! all of them in a few bytes; a router that computes another one compares its records with the
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{pace, peer::Peer, peers::Peers, records::life_hash};
+use super::{peer::Peer, peers::Peers, records::life_hash, timing};
 use crate::{
     ids::{DataHall, VmId},
     units::Instant,
@@ -89,7 +89,7 @@
     /// Returns how long a silent router counts as alive where hubs report failures, if there is no
     /// report about it.
     pub(super) fn unconfirmed_timeout(&self) -> Duration {
-        pace::failure_timeout(self.fleet_size()) * UNCONFIRMED_FACTOR
+        timing::failure_timeout(self.fleet_size()) * UNCONFIRMED_FACTOR
     }
 
     /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
@@ -186,12 +186,15 @@
             return;
         }
         let since = *self.monitoring_since.get_or_insert(now);
-        let silent_after = pace::failure_timeout(self.fleet_size());
+        let silent_after = timing::failure_timeout(self.fleet_size());
         let watched: Vec<VmId> = {
             let mut watched = self.monitored(now);
             watched.retain(|vm| {
                 self.by_vm.get(vm).is_some_and(|p| {
-                    let heard = p.heard.max(since).max(p.monitored_since.unwrap_or(now));
+                    let heard = p
+                        .last_datagram_at
+                        .max(since)
+                        .max(p.monitored_since.unwrap_or(now));
                     now.since(heard) >= silent_after.mul_f64(self.silence_factor(now, p))
                 })
             });
@@ -211,7 +214,7 @@
         let is_new = now.since(peer.changed_at) < self.unconfirmed_timeout();
         match () {
             () if is_new && !peer.has_sent() => NEW_PEER_FACTOR,
-            () if Some(peer.heard) < peer.monitored_since => NEWLY_MONITORED_FACTOR,
+            () if Some(peer.last_datagram_at) < peer.monitored_since => NEWLY_MONITORED_FACTOR,
             () => 1.0,
         }
     }
@@ -272,7 +275,7 @@
         let were_alive: Vec<VmId> = self.live_names(before).cloned().collect();
         for vm in were_alive {
             if let Some(peer) = self.by_vm.get_mut(&vm) {
-                peer.heard = now.before(before.since(peer.last_heartbeat()));
+                peer.last_datagram_at = now.before(before.since(peer.last_heartbeat()));
             }
         }
         self.monitoring_since = Some(now);
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -5,8 +5,8 @@
 
 use super::{
     datagram::CapacityClass,
-    pace,
     peers::{Peers, Receiver},
+    timing,
 };
 use crate::{
     ids::{DataHall, VmId},
@@ -81,9 +81,9 @@
     }
 
     pub(super) fn is_hub_silent(&self, now: Instant, hub: &VmId) -> bool {
-        let silent_after = pace::hub_timeout(self.fleet_size());
+        let silent_after = timing::hub_timeout(self.fleet_size());
         let peer = self.by_vm.get(hub);
-        peer.is_none_or(|p| now.since(p.heard) >= silent_after)
+        peer.is_none_or(|p| now.since(p.last_datagram_at) >= silent_after)
     }
 
     /// Returns the `n` routers that keep `thing` together, selected among those of higher capacity.
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -38,7 +38,7 @@
     pub(super) hash: VmHash,
     /// When its last datagram arrived; before the first one, when others last received a heartbeat
     /// of it.
-    pub(super) heard: Instant,
+    pub(super) last_datagram_at: Instant,
     /// Latest heartbeat that other routers reported.
     pub(super) reported_heard: Option<Instant>,
     /// Since when it is silent to the routers that monitor it, or stops.
@@ -80,7 +80,7 @@
             hall: datagram.hall.clone(),
             capacity: datagram.capacity,
             hash: VmHash::from(&datagram.vm),
-            heard: now,
+            last_datagram_at: now,
             reported_heard: None,
             down_since: datagram.stopping.then(|| {
                 let since = same_life.and_then(|p| p.down_since);
@@ -112,7 +112,7 @@
             hall: record.hall.clone(),
             capacity: record.capacity,
             hash: VmHash::from(&record.vm),
-            heard,
+            last_datagram_at: heard,
             reported_heard: None,
             down_since: gone_at,
             changed_at: now,
@@ -146,7 +146,7 @@
     /// Incarnations are numbered by the time of day, which may have been set back: a lower number
     /// is accepted once the known incarnation is silent.
     pub(super) fn is_outdated(&self, now: Instant, other: Incarnation) -> bool {
-        let is_active = now.since(self.heard) < INCARNATION_TIMEOUT;
+        let is_active = now.since(self.last_datagram_at) < INCARNATION_TIMEOUT;
         self.former_incarnation == Some(other) || (self.incarnation() > other && is_active)
     }
 
@@ -160,7 +160,7 @@
     /// Returns the time of its last heartbeat, received directly or reported.
     pub(super) fn last_heartbeat(&self) -> Instant {
         self.reported_heard
-            .map_or(self.heard, |at| at.max(self.heard))
+            .map_or(self.last_datagram_at, |at| at.max(self.last_datagram_at))
     }
 
     /// Whether the router is alive, given the limits on its silence.
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -15,9 +15,9 @@
     datagram::{CapacityClass, Datagram},
     heartbeats::{KnownDigest, VmHash},
     hubs::{HubTable, MIN_LARGE_FLEET},
-    pace,
     peer::{Peer, SilenceLimits},
     records::ComparisonState,
+    timing,
 };
 use crate::{
     config::freshness::PeerConfirmation,
@@ -299,7 +299,7 @@
             false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_timeout()),
         };
         SilenceLimits {
-            failure_timeout: pace::failure_timeout(self.fleet_size()),
+            failure_timeout: timing::failure_timeout(self.fleet_size()),
             unreported_timeout: counts_for,
         }
     }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -13,9 +13,9 @@
 use super::{
     datagram::{CapacityClass, Datagram},
     heartbeats::VmHash,
-    pace,
     peer::{Peer, Receiver},
     peers::{ADDRESS_TTL, Peers},
+    timing,
 };
 use crate::{
     ids::{DataHall, Incarnation, VmId},
@@ -303,7 +303,7 @@
     /// Applies one record; returns whether the router became alive.
     fn on_record(&mut self, now: Instant, record: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
-        let silent_after = pace::failure_timeout(self.fleet_size());
+        let silent_after = timing::failure_timeout(self.fleet_size());
         let known = self.by_vm.get_mut(&record.vm);
         match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
@@ -334,7 +334,7 @@
                 let since = ago(since_ms);
                 // Where two halls cannot reach each other and a third reaches both, each takes the
                 // other's hubs for down.
-                let is_active = peer.has_sent() && now.since(peer.heard) < silent_after;
+                let is_active = peer.has_sent() && now.since(peer.last_datagram_at) < silent_after;
                 let is_older = peer.last_heartbeat() <= since + DOWN_REPORT_TOLERANCE;
                 let is_new = peer.down_since.is_none() && is_older && !is_active;
                 if is_new {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -14,9 +14,9 @@
     membership::{
         datagram::{CapacityClass, Datagram, Message, Stamp},
         heartbeats::HubDigests,
-        pace::{HEARTBEAT_INTERVAL, SendContent, SendSchedule, send_interval},
         peers::{DatagramEffect, Peers},
         records::Exchange,
+        timing::{HEARTBEAT_INTERVAL, SendContent, SendSchedule, send_interval},
     },
     units::{Instant, StoreRevision},
 };
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -7,9 +7,9 @@
     ids::{DataHall, Incarnation, VmId},
     membership::{
         datagram::{CapacityClass, Datagram, Stamp},
-        pace::send_interval,
         peers::{DatagramEffect, Peers},
         readers::{FleetStart, NextRead, ReadState},
+        timing::send_interval,
     },
     units::{ConfigVersion, Instant, StoreRevision},
 };
