--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -243,8 +243,8 @@
         suspected: cx.dispatcher.borrow().health.suspected_here(now),
         halls: Vec::new(),
         outages: cx.dispatcher.borrow().health.outages.notices(now),
-        endings: cx.dispatcher.borrow().quarantine.crash_notices(now),
-        held_requests: cx.dispatcher.borrow().quarantine.quarantine_notices(now),
+        crashes: cx.dispatcher.borrow().quarantine.crash_notices(now),
+        quarantined: cx.dispatcher.borrow().quarantine.quarantine_notices(now),
         member_digests: Vec::new(),
         exchange: None,
         rates: Vec::new(),
@@ -304,7 +304,7 @@
     if let Some(vouch) = cx.peers.borrow().config_confirmation(&told) {
         cx.freshness.borrow_mut().on_peer_confirmation(vouch);
     }
-    endings::on_peer(cx, now, &told.endings, &told.held_requests);
+    endings::on_peer(cx, now, &told.crashes, &told.quarantined);
     let mut dispatcher = cx.dispatcher.borrow_mut();
     if let Some(ago) = told.store_regained_ms {
         let ago = Duration::from_millis(u64::from(ago));
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -127,9 +127,9 @@
     /// Targets that just broke off a call at once, as seen by the sender or reported to it.
     pub outages: Vec<OutageNotice>,
     /// Targets that ended while they ran requests, as found by the sender or reported to it.
-    pub endings: Vec<CrashNotice>,
+    pub crashes: Vec<CrashNotice>,
     /// Requests that are held back and not known to be recorded in the store; usually empty.
-    pub held_requests: Vec<QuarantineNotice>,
+    pub quarantined: Vec<QuarantineNotice>,
     /// Targets that do not answer the sender.
     pub suspected: Vec<TargetHash>,
     /// Shared prompt parts that were sent to a target for the first time.
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{peer::Peer, peers::Peers, records::life_hash, timing};
+use super::{peer::Peer, peers::Peers, records::incarnation_hash, timing};
 use crate::{
     ids::{DataHall, VmId},
     units::Instant,
@@ -147,14 +147,14 @@
     fn confirm_alive(&mut self, hall: &DataHall, at: Instant) {
         let here = self.by_vm.values_mut().filter(|p| p.hall == *hall);
         for peer in here.filter(|p| p.down_since.is_none()) {
-            peer.reported_heard = peer.reported_heard.max(Some(at));
+            peer.last_reported_heartbeat = peer.last_reported_heartbeat.max(Some(at));
         }
     }
 
     fn hall_digest(&self, hall: &DataHall) -> u64 {
         let is_here = |vm: &VmId| self.by_vm.get(vm).map_or(&self.hall, |p| &p.hall) == hall;
         let here = self.digest_members().filter(|(vm, _)| is_here(vm));
-        here.fold(0, |all, (vm, life)| all ^ life_hash(vm, life))
+        here.fold(0, |all, (vm, life)| all ^ incarnation_hash(vm, life))
     }
 
     fn is_fresh(&self, now: Instant, roll: &KnownDigest) -> bool {
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -90,7 +90,7 @@
     ///
     /// Candidates have at least half the capacity of the strongest router, unless fewer than `n`
     /// have.
-    pub(super) fn keepers_by_capacity<'a>(
+    pub(super) fn owners_by_capacity<'a>(
         key: &str,
         routers: impl Iterator<Item = (&'a VmId, CapacityClass)>,
         n: usize,
@@ -166,7 +166,7 @@
             .or_default()
             .push((&self.me, self.capacity));
         let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, CapacityClass)>)| {
-            let hubs = Self::keepers_by_capacity("hub", routers.into_iter(), HUBS_PER_HALL);
+            let hubs = Self::owners_by_capacity("hub", routers.into_iter(), HUBS_PER_HALL);
             (hall.clone(), hubs.into_iter().cloned().collect())
         };
         table.hubs = halls.into_iter().map(hubs).collect();
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -40,7 +40,7 @@
     /// of it.
     pub(super) last_datagram_at: Instant,
     /// Latest heartbeat that other routers reported.
-    pub(super) reported_heard: Option<Instant>,
+    pub(super) last_reported_heartbeat: Option<Instant>,
     /// Since when it is silent to the routers that monitor it, or stops.
     pub(super) down_since: Option<Instant>,
     /// When this router learned of it, or of the last change of whether it is alive.
@@ -59,7 +59,7 @@
     pub(super) stopping: bool,
     pub(super) mirror_revision: StoreRevision,
     /// When the peer last received an answer from the store, if it reads it.
-    pub(super) store_heard: Option<Instant>,
+    pub(super) store_answered_at: Option<Instant>,
 }
 
 impl Peer {
@@ -81,7 +81,7 @@
             capacity: datagram.capacity,
             hash: VmHash::from(&datagram.vm),
             last_datagram_at: now,
-            reported_heard: None,
+            last_reported_heartbeat: None,
             down_since: datagram.stopping.then(|| {
                 let since = same_life.and_then(|p| p.down_since);
                 since.unwrap_or(now)
@@ -95,7 +95,7 @@
             calls: datagram.calls,
             stopping: datagram.stopping,
             mirror_revision: datagram.mirror_revision,
-            store_heard: before.and_then(|p| p.store_heard),
+            store_answered_at: before.and_then(|p| p.store_answered_at),
         }
     }
 
@@ -113,7 +113,7 @@
             capacity: record.capacity,
             hash: VmHash::from(&record.vm),
             last_datagram_at: heard,
-            reported_heard: None,
+            last_reported_heartbeat: None,
             down_since: gone_at,
             changed_at: now,
             monitored_since: None,
@@ -127,7 +127,7 @@
             calls: 0,
             stopping: false,
             mirror_revision: StoreRevision::default(),
-            store_heard: None,
+            store_answered_at: None,
         }
     }
 
@@ -159,7 +159,7 @@
 
     /// Returns the time of its last heartbeat, received directly or reported.
     pub(super) fn last_heartbeat(&self) -> Instant {
-        self.reported_heard
+        self.last_reported_heartbeat
             .map_or(self.last_datagram_at, |at| at.max(self.last_datagram_at))
     }
 
@@ -168,7 +168,7 @@
     /// A router that did not answer a call is alive again once others report a later heartbeat. The
     /// true time of a reported heartbeat is earlier than the reported one by `silent_after` at the
     /// most.
-    pub(super) fn lives(&self, now: Instant, limits: SilenceLimits) -> bool {
+    pub(super) fn is_alive(&self, now: Instant, limits: SilenceLimits) -> bool {
         let heartbeat = self.last_heartbeat();
         let is_back = |at: Instant| heartbeat > at + limits.failure_timeout;
         let is_reachable = self.unreachable_at.is_none_or(is_back);
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -126,7 +126,7 @@
             return DatagramEffect::Outdated;
         }
         let before = self.by_vm.get(&datagram.vm);
-        let was_alive = before.is_some_and(|p| p.lives(now, self.silence_limits()));
+        let was_alive = before.is_some_and(|p| p.is_alive(now, self.silence_limits()));
         let heard = match before {
             Some(p)
                 if p.incarnation() == datagram.sent.incarnation && p.number >= datagram.number =>
@@ -241,7 +241,7 @@
             data_hall: p.hall.clone(),
             state: match () {
                 () if p.stopping => MemberState::Stopping,
-                () if p.lives(now, silence) => MemberState::Alive,
+                () if p.is_alive(now, silence) => MemberState::Alive,
                 () => MemberState::Dead,
             },
             silent_ms: now.since(p.last_heartbeat()).as_millis() as u64,
@@ -305,7 +305,7 @@
     }
 
     pub(super) fn is_alive(&self, now: Instant, peer: &Peer) -> bool {
-        peer.lives(now, self.silence_limits())
+        peer.is_alive(now, self.silence_limits())
     }
 
     pub(super) fn live_peers(&self, now: Instant) -> impl Iterator<Item = &Peer> {
@@ -315,6 +315,6 @@
     pub(super) fn live_members(&self, now: Instant) -> impl Iterator<Item = (&VmId, &Peer)> {
         let silence = self.silence_limits();
         let all = self.by_vm.iter();
-        all.filter(move |(_, p)| p.lives(now, silence))
+        all.filter(move |(_, p)| p.is_alive(now, silence))
     }
 }
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -199,7 +199,7 @@
             return Vec::new();
         }
         let age = |p: &Peer| {
-            let heard = p.store_heard.unwrap_or_default();
+            let heard = p.store_answered_at.unwrap_or_default();
             now.since(heard).as_millis() as u32
         };
         let acting = self.acting_readers(now, None).into_iter();
@@ -227,13 +227,13 @@
             let age = Duration::from_millis(u64::from(*age_ms));
             let heard = Instant(now.0.saturating_sub(age));
             if let Some(peer) = self.by_vm.get_mut(reader) {
-                peer.store_heard = peer.store_heard.max(Some(heard));
+                peer.store_answered_at = peer.store_answered_at.max(Some(heard));
             }
         }
     }
 
     pub(super) fn designated_readers(&self, now: Instant) -> Vec<&VmId> {
-        Self::keepers_by_capacity(READERS_KEY, self.live_capacities(now), READER_COUNT)
+        Self::owners_by_capacity(READERS_KEY, self.live_capacities(now), READER_COUNT)
     }
 
     /// Returns the designated readers that recently received an answer from the store, `me`
@@ -246,13 +246,13 @@
         let mut acting = self.designated_readers(now);
         acting.retain(|vm| fresh.iter().any(|(f, _)| f == vm));
         match acting.is_empty() {
-            true => Self::keepers_by_capacity(READERS_KEY, fresh.into_iter(), READER_COUNT),
+            true => Self::owners_by_capacity(READERS_KEY, fresh.into_iter(), READER_COUNT),
             false => acting,
         }
     }
 
     fn is_fresh_reader(&self, now: Instant, peer: &Peer) -> bool {
         let fresh = |at| now.since(at) < READER_TTL;
-        self.is_alive(now, peer) && peer.store_heard.is_some_and(fresh)
+        self.is_alive(now, peer) && peer.store_answered_at.is_some_and(fresh)
     }
 }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -176,7 +176,7 @@
 }
 
 /// Returns the hash of one incarnation of a router.
-pub(super) fn life_hash(vm: &VmId, life: Incarnation) -> u64 {
+pub(super) fn incarnation_hash(vm: &VmId, life: Incarnation) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), life.0)
 }
 
@@ -240,7 +240,9 @@
 
     /// Returns the first step of a comparison.
     pub fn compare(&self) -> Exchange {
-        let lives = self.digest_members().map(|(vm, life)| life_hash(vm, life));
+        let lives = self
+            .digest_members()
+            .map(|(vm, life)| incarnation_hash(vm, life));
         Exchange::Compare {
             digest: lives.fold(0, |all, life| all ^ life),
             routers: self.digest_members().count() as u32,
@@ -317,7 +319,7 @@
                 if peer.incarnation() == record.incarnation =>
             {
                 let at = ago(heard_ms).before(REPORTED_AGE_MARGIN);
-                peer.reported_heard = peer.reported_heard.max(Some(at));
+                peer.last_reported_heartbeat = peer.last_reported_heartbeat.max(Some(at));
                 let is_back = peer
                     .down_since
                     .is_some_and(|gone| at > gone + DOWN_REPORT_TOLERANCE);
@@ -408,7 +410,7 @@
     fn buckets(&self) -> Vec<u32> {
         let mut buckets = vec![0; BUCKETS];
         for (vm, life) in self.digest_members() {
-            buckets[bucket(vm)] ^= life_hash(vm, life) as u32;
+            buckets[bucket(vm)] ^= incarnation_hash(vm, life) as u32;
         }
         buckets
     }
