--- a/src/admission/account_rates.rs
+++ b/src/admission/account_rates.rs
@@ -21,19 +21,19 @@
 
 /// Interval between rate reports: a quarter of the time constant of a rate, because reports pass
 /// through two hubs.
-pub const REPORT_RATES_EVERY: Duration = Duration::from_millis(500);
+pub const RATE_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after which the last report of a router or a data hall expires; covers two lost reports and
 /// some delay.
-const EXPIRES: Duration = Duration::from_millis(3_500);
+const RATE_REPORT_TTL: Duration = Duration::from_millis(3_500);
 
 /// Maximum number of accounts in one report. The accounts with the highest rates are reported, so
 /// that an account that surges is among them.
-const ACCOUNTS_REPORTED: usize = 32;
+const MAX_REPORTED_ACCOUNTS: usize = 32;
 
 /// Units of a reported rate per call per second; rates below a tenth of a call per second are
 /// negligible.
-const UNITS_A_CALL: f64 = 10.0;
+const RATE_UNITS_PER_CALL: f64 = 10.0;
 
 /// Short hash of an account's name.
 ///
@@ -61,13 +61,13 @@
 impl AccountRates {
     /// Creates the report from the calls per second of each account.
     pub fn new(rates: &HashMap<AccountHash, f64>) -> Self {
-        let tenths = |rate: f64| (rate * UNITS_A_CALL).round() as u32;
+        let tenths = |rate: f64| (rate * RATE_UNITS_PER_CALL).round() as u32;
         let steps = rates
             .iter()
             .map(|(account, rate)| (*account, tenths(*rate)));
         let mut most: Vec<_> = steps.filter(|(_, rate)| *rate > 0).collect();
         most.sort_unstable_by_key(|(account, rate)| (std::cmp::Reverse(*rate), *account));
-        most.truncate(ACCOUNTS_REPORTED);
+        most.truncate(MAX_REPORTED_ACCOUNTS);
         Self {
             all: tenths(rates.values().sum()),
             most,
@@ -76,13 +76,14 @@
 
     /// Returns the total rate of all accounts, in calls per second.
     pub fn all(&self) -> f64 {
-        f64::from(self.all) / UNITS_A_CALL
+        f64::from(self.all) / RATE_UNITS_PER_CALL
     }
 
     /// Iterates over the reported accounts and their rates in calls per second.
     pub fn iter(&self) -> impl Iterator<Item = (AccountHash, f64)> {
-        let rate =
-            |(account, tenths): &(AccountHash, u32)| (*account, f64::from(*tenths) / UNITS_A_CALL);
+        let rate = |(account, tenths): &(AccountHash, u32)| {
+            (*account, f64::from(*tenths) / RATE_UNITS_PER_CALL)
+        };
         self.most.iter().map(rate)
     }
 }
@@ -98,7 +99,7 @@
 
 /// Rates of accounts as reported by other routers.
 #[derive(Debug)]
-pub(super) struct RatesOfOthers {
+pub(super) struct PeerRates {
     hall: DataHall,
     routers: BTreeMap<VmId, (Instant, DataHall, AccountRates)>,
     halls: BTreeMap<DataHall, (Instant, AccountRates)>,
@@ -120,7 +121,7 @@
     }
 }
 
-impl RatesOfOthers {
+impl PeerRates {
     pub(super) fn new(hall: DataHall) -> Self {
         Self {
             hall,
@@ -149,15 +150,17 @@
 
     /// Drops the reports of routers and data halls that have expired.
     pub(super) fn on_tick(&mut self, now: Instant) {
-        self.routers.retain(|_, (at, ..)| now.since(*at) < EXPIRES);
-        self.halls.retain(|_, (at, _)| now.since(*at) < EXPIRES);
+        self.routers
+            .retain(|_, (at, ..)| now.since(*at) < RATE_REPORT_TTL);
+        self.halls
+            .retain(|_, (at, _)| now.since(*at) < RATE_REPORT_TTL);
     }
 
     /// Returns the rates of the whole fleet, including this router's own rates.
     ///
     /// Uses the sum of a data hall where a hub has reported it, and the reports of single routers
     /// elsewhere.
-    pub(super) fn of_fleet(&self, own: &AccountRates) -> RateSum {
+    pub(super) fn fleet_rates(&self, own: &AccountRates) -> RateSum {
         let mut sum = RateSum::default();
         for (_, rates) in self.halls.values() {
             sum.add(rates);
@@ -175,7 +178,7 @@
     }
 
     /// Returns the rates of all routers of this data hall, which this router reports as a hub.
-    pub(super) fn of_own_hall(&self, own: &AccountRates) -> AccountRates {
+    pub(super) fn own_hall_rates(&self, own: &AccountRates) -> AccountRates {
         let mut sum = RateSum::default();
         sum.add(own);
         for (_, hall, rates) in self.routers.values() {
@@ -187,7 +190,7 @@
     }
 
     /// Iterates over the rates reported for the other data halls.
-    pub(super) fn of_other_halls(&self) -> impl Iterator<Item = (&DataHall, &AccountRates)> {
+    pub(super) fn other_hall_rates(&self) -> impl Iterator<Item = (&DataHall, &AccountRates)> {
         let others = self.halls.iter().filter(|(hall, _)| **hall != self.hall);
         others.map(|(hall, (_, rates))| (hall, rates))
     }
--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -11,10 +11,10 @@
 /// The rest of the goal covers processing the call's own prompt, and counts of other routers that
 /// are a tenth of a second old. With 0.1, 0.25 and 0.5 the calls of five overloads earned 0.695,
 /// 0.681 and 0.666 of their value (mean of three seeds each).
-const QUEUE_PART: f64 = 0.1;
+const QUEUE_WAIT_FRACTION: f64 = 0.1;
 
 /// Maximum number of calls in progress per slot, however fast slots become free.
-const MOST_A_SLOT: f64 = 3.0;
+const MAX_CALLS_PER_SLOT: f64 = 3.0;
 
 /// Fraction of a target's slots reserved for calls whose prompt the target has cached; calls whose
 /// prompt is cached at another target do not use it.
@@ -22,20 +22,20 @@
 /// When all targets are full, each free slot would otherwise go to whichever call comes next, and
 /// its prompt would be transferred from another target: 200 to 250 tokens per call instead of fewer
 /// than 100 (`tests/load/overload.rs`, three seeds).
-const HOME_PART: f64 = 0.25;
+const CACHE_AFFINITY_RESERVE: f64 = 0.25;
 
 /// Fraction of a target's slots that calls of a surging account do not use.
 ///
 /// Calls of all other accounts find these slots free, because few of them arrive at once. Without
 /// the reserve 0.26 of their calls are answered in time, with it more than 0.7
 /// (`tests/load/overload.rs`, three seeds).
-const OTHERS_PART: f64 = 0.15;
+const NON_SURGING_RESERVE: f64 = 0.15;
 
 /// Properties of a call that determine how full a target that accepts it may be.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallTraits {
     /// Whether the target has cached the call's prompt, or no other target has cached more of it.
-    pub at_home: bool,
+    pub has_cache_affinity: bool,
     /// Whether the call's account sends many times its usual rate.
     pub surges: bool,
 }
@@ -43,7 +43,7 @@
 /// Limit on the calls in progress at a target, relative to its number of slots.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallLimit {
-    calls_a_slot: f64,
+    calls_per_slot: f64,
 }
 
 impl CallLimit {
@@ -54,21 +54,25 @@
     pub(super) fn new(goal: Duration, slot_time: Option<Duration>) -> Self {
         let queued = |slot_time: Duration| {
             let slot_time = slot_time.as_secs_f64().max(f64::EPSILON);
-            goal.as_secs_f64() * QUEUE_PART / slot_time
+            goal.as_secs_f64() * QUEUE_WAIT_FRACTION / slot_time
         };
         Self {
-            calls_a_slot: (1.0 + slot_time.map_or(0.0, queued)).min(MOST_A_SLOT),
+            calls_per_slot: (1.0 + slot_time.map_or(0.0, queued)).min(MAX_CALLS_PER_SLOT),
         }
     }
 
     /// Returns the maximum number of calls in progress at a target with `slots` slots at which it
     /// still accepts `call`.
-    pub fn most_calls(self, slots: u32, call: CallTraits) -> u32 {
-        let cached = match call.at_home {
-            true => self.calls_a_slot,
-            false => 1.0 - HOME_PART,
+    pub fn max_calls(self, slots: u32, call: CallTraits) -> u32 {
+        let cached = match call.has_cache_affinity {
+            true => self.calls_per_slot,
+            false => 1.0 - CACHE_AFFINITY_RESERVE,
+        };
+        let reserved = if call.surges {
+            NON_SURGING_RESERVE
+        } else {
+            0.0
         };
-        let reserved = if call.surges { OTHERS_PART } else { 0.0 };
         let per_slot = cached - reserved;
         let max = f64::from(slots) * per_slot;
         // A target may always run one call.
--- a/src/admission/shortage.rs
+++ b/src/admission/shortage.rs
@@ -11,28 +11,28 @@
 use crate::units::Instant;
 
 /// Time without refusals after which the next refusal begins a new shortage.
-const CALM: Duration = Duration::from_secs(1);
+const SHORTAGE_GAP: Duration = Duration::from_secs(1);
 
 /// Expected duration of a shortage that has just begun: that of the shortest surges in the users'
 /// workload sheets.
-const SHORTEST: Duration = Duration::from_secs(3);
+const MIN_SHORTAGE: Duration = Duration::from_secs(3);
 
 /// Maximum retry delay as a fraction of the time for which a caller waits. A caller that retries
 /// then still has most of its time, and the users' callers do not honour longer delays (see
 /// PROTOCOL).
-const HEEDED_PART: f64 = 1.0 / 3.0;
+const MAX_RETRY_AFTER_FRACTION: f64 = 1.0 / 3.0;
 
 /// Fraction of the delay over which callers that were refused together are spread.
-const SPREAD: f64 = 0.4;
+const JITTER_FRACTION: f64 = 0.4;
 
 /// Tracks the current run of refusals.
 #[derive(Debug, Default)]
 pub(super) struct Shortage {
-    run: Option<Run>,
+    run: Option<RefusalRun>,
 }
 
 #[derive(Debug)]
-struct Run {
+struct RefusalRun {
     since: Instant,
     last: Instant,
 }
@@ -41,9 +41,9 @@
     /// Records that a call was refused for lack of capacity.
     pub(super) fn on_refused(&mut self, now: Instant) {
         match &mut self.run {
-            Some(run) if now.since(run.last) < CALM => run.last = now,
+            Some(run) if now.since(run.last) < SHORTAGE_GAP => run.last = now,
             run => {
-                *run = Some(Run {
+                *run = Some(RefusalRun {
                     since: now,
                     last: now,
                 });
@@ -52,10 +52,10 @@
     }
 
     /// Returns the time for which calls have been refused; `None` if the last refusal is at least
-    /// [`CALM`] ago.
+    /// [`SHORTAGE_GAP`] ago.
     pub(super) fn age(&self, now: Instant) -> Option<Duration> {
         let run = self.run.as_ref()?;
-        (now.since(run.last) < CALM).then(|| now.since(run.since))
+        (now.since(run.last) < SHORTAGE_GAP).then(|| now.since(run.since))
     }
 }
 
@@ -63,13 +63,13 @@
 ///
 /// Only the age of a surge is known, and the longer a surge has lasted, the longer it is likely to
 /// continue (the mean residual life of a Lomax distribution of shape 2).
-pub(super) fn expected_at(age: Duration) -> Duration {
-    SHORTEST + age
+pub(super) fn expected_remaining(age: Duration) -> Duration {
+    MIN_SHORTAGE + age
 }
 
 /// Computes the retry delay of a caller that waits for `left` in total, when capacity is expected
 /// after `remaining`.
-pub(super) fn come_back(remaining: Duration, left: Duration, draw: f64) -> Duration {
-    let pause = remaining.min(left.mul_f64(HEEDED_PART));
-    pause.mul_f64(1.0 - SPREAD * draw.clamp(0.0, 1.0))
+pub(super) fn retry_after(remaining: Duration, left: Duration, draw: f64) -> Duration {
+    let pause = remaining.min(left.mul_f64(MAX_RETRY_AFTER_FRACTION));
+    pause.mul_f64(1.0 - JITTER_FRACTION * draw.clamp(0.0, 1.0))
 }
--- a/src/admission/occupancy.rs
+++ b/src/admission/slot_time.rs
@@ -4,25 +4,25 @@
 
 /// Weight of one call in the exponential moving average: about the last fifty calls count, which
 /// one router's share of a service's calls reaches in a second.
-const CALL_WEIGHT: f64 = 0.02;
+const EWMA_WEIGHT: f64 = 0.02;
 
 /// Exponential moving average over the calls of one service, of all kinds in the order of their
 /// arrival.
 #[derive(Debug, Default)]
-pub(super) struct Occupancy {
+pub(super) struct MeanSlotTime {
     mean_s: Option<f64>,
 }
 
-impl Occupancy {
+impl MeanSlotTime {
     /// Adds the time for which a call occupied a slot, without its time in the target's queue.
-    pub(super) fn on_held(&mut self, slot_time: Duration) {
+    pub(super) fn on_slot_time(&mut self, slot_time: Duration) {
         let slot_time = slot_time.as_secs_f64();
         let mean = self.mean_s.unwrap_or(slot_time);
-        self.mean_s = Some(mean + (slot_time - mean) * CALL_WEIGHT);
+        self.mean_s = Some(mean + (slot_time - mean) * EWMA_WEIGHT);
     }
 
     /// Restores the mean from before a restart, unless calls have been observed since.
-    pub(super) fn on_recalled(&mut self, slot_time: Duration) {
+    pub(super) fn on_restored_slot_time(&mut self, slot_time: Duration) {
         self.mean_s.get_or_insert(slot_time.as_secs_f64());
     }
 
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -10,22 +10,22 @@
 
 /// Time constant of the current rate: long enough for several calls of a small account at one
 /// router.
-const PRESENT: Duration = Duration::from_secs(2);
+const CURRENT_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Time constant of the usual rate.
-const USUAL: Duration = Duration::from_secs(30);
+const USUAL_TIME_CONSTANT: Duration = Duration::from_secs(30);
 
 /// Minimum time in which the usual rate may double. A surge of the users' workload sheets (3 to 7
 /// s) hardly changes the usual rate before it ends; permanent growth of an account counts as usual
 /// after half a minute.
-const USUAL_DOUBLES: Duration = Duration::from_secs(10);
+const USUAL_DOUBLING_TIME: Duration = Duration::from_secs(10);
 
 /// Minimum time for which an account is observed before its rate counts as usual.
-const KNOWN_FOR: Duration = Duration::from_secs(5);
+const MIN_OBSERVATION: Duration = Duration::from_secs(5);
 
 /// Factor by which an account's growth over its usual rate must exceed that of all other accounts
 /// together for it to surge.
-const MANY_TIMES: f64 = 3.0;
+const SURGE_FACTOR: f64 = 3.0;
 
 /// Minimum fraction of an account's calls that is admitted, so that no account is served less than
 /// a quarter as often as all accounts.
@@ -33,52 +33,58 @@
 /// With 0.25 instead of 0.1, a surge of 30 times the usual rate leaves 0.39 of the other accounts'
 /// calls answered in time, with 0.1 it leaves 0.47 (`tests/load/stale_counts.rs`, 295 routers,
 /// before calls of surging accounts stayed below the limit).
-const LEAST_LET_IN: f64 = 0.1;
+const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
-/// Minimum number of calls within [`PRESENT`] for an account to surge; fewer calls may be chance.
-const FEWEST: f64 = 8.0;
+/// Minimum number of calls within [`CURRENT_TIME_CONSTANT`] for an account to surge; fewer calls may be chance.
+const MIN_SURGE_CALLS: f64 = 8.0;
 
 /// Rate, in calls per second, below which an account's usual rate is negligible.
-const NEXT_TO_NONE: f64 = 0.01;
+const NEGLIGIBLE_RATE: f64 = 0.01;
 
 /// Maximum number of accounts tracked; the account that has been idle longest is evicted.
-const ACCOUNTS_LIMIT: usize = 4_096;
+const MAX_ACCOUNTS: usize = 4_096;
 
 /// Current and usual rate, in calls per second.
 #[derive(Debug, Clone, Copy)]
-struct Rates {
+struct RateEstimate {
     since: Instant,
     at: Instant,
     calls: f64,
-    present: f64,
+    current: f64,
     usual: f64,
 }
 
-impl Rates {
+impl RateEstimate {
     fn new(now: Instant) -> Self {
         Self {
             since: now,
             at: now,
             calls: 0.0,
-            present: 0.0,
+            current: 0.0,
             usual: 0.0,
         }
     }
 
-    fn is_known(&self, now: Instant) -> bool {
-        now.since(self.since) >= KNOWN_FOR
+    fn has_usual_rate(&self, now: Instant) -> bool {
+        now.since(self.since) >= MIN_OBSERVATION
     }
 
     fn on_call(&mut self, now: Instant) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.calls += 1.0;
-        let present_s = PRESENT.as_secs_f64();
-        self.present = self.present * (-passed / present_s).exp() + 1.0 / present_s;
-        self.usual = match self.is_known(now) {
+        let present_s = CURRENT_TIME_CONSTANT.as_secs_f64();
+        self.current = self.current * (-passed / present_s).exp() + 1.0 / present_s;
+        self.usual = match self.has_usual_rate(now) {
             true => self.usual_after(passed),
             // The mean so far.
-            false => self.calls / now.since(self.since).max(PRESENT).as_secs_f64(),
+            false => {
+                self.calls
+                    / now
+                        .since(self.since)
+                        .max(CURRENT_TIME_CONSTANT)
+                        .as_secs_f64()
+            }
         };
     }
 
@@ -87,25 +93,31 @@
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.calls += present * passed;
-        self.present = present;
-        self.usual = match self.is_known(now) {
+        self.current = present;
+        self.usual = match self.has_usual_rate(now) {
             true => self.usual_after(passed),
             // The mean so far.
-            false => self.calls / now.since(self.since).max(PRESENT).as_secs_f64(),
+            false => {
+                self.calls
+                    / now
+                        .since(self.since)
+                        .max(CURRENT_TIME_CONSTANT)
+                        .as_secs_f64()
+            }
         };
     }
 
     /// Returns the current rate at `now`, decayed since the last call.
-    fn present_at(&self, now: Instant) -> f64 {
+    fn current_at(&self, now: Instant) -> f64 {
         let passed = now.since(self.at).as_secs_f64();
-        self.present * (-passed / PRESENT.as_secs_f64()).exp()
+        self.current * (-passed / CURRENT_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// Returns the usual rate after `passed` seconds. Its growth is limited by [`USUAL_DOUBLES`].
+    /// Returns the usual rate after `passed` seconds. Its growth is limited by [`USUAL_DOUBLING_TIME`].
     fn usual_after(&self, passed: f64) -> f64 {
-        let weight = 1.0 - (-passed / USUAL.as_secs_f64()).exp();
-        let max = self.usual * (passed / USUAL_DOUBLES.as_secs_f64()).exp2();
-        (self.usual + (self.present - self.usual) * weight).min(max)
+        let weight = 1.0 - (-passed / USUAL_TIME_CONSTANT.as_secs_f64()).exp();
+        let max = self.usual * (passed / USUAL_DOUBLING_TIME.as_secs_f64()).exp2();
+        (self.usual + (self.current - self.usual) * weight).min(max)
     }
 }
 
@@ -116,7 +128,7 @@
     #[default]
     None,
     /// The account does; in a shortage this fraction of its calls is admitted.
-    LetIn(f64),
+    AdmitFraction(f64),
 }
 
 impl Surge {
@@ -128,68 +140,70 @@
 
 /// Rates of all accounts at this router, and across the fleet as reported by other routers.
 #[derive(Debug, Default)]
-pub(super) struct Surges {
-    all: Option<Rates>,
-    accounts: HashMap<ClientAccountId, Rates>,
-    fleet_all: Option<Rates>,
-    fleet: HashMap<AccountHash, Rates>,
+pub(super) struct SurgeDetector {
+    all: Option<RateEstimate>,
+    accounts: HashMap<ClientAccountId, RateEstimate>,
+    fleet_all: Option<RateEstimate>,
+    fleet: HashMap<AccountHash, RateEstimate>,
 }
 
-impl Surges {
+impl SurgeDetector {
     /// Counts a call of an account; returns whether the account surges.
     pub(super) fn on_call(&mut self, now: Instant, account: &ClientAccountId) -> Surge {
-        let all = self.all.get_or_insert_with(|| Rates::new(now));
+        let all = self.all.get_or_insert_with(|| RateEstimate::new(now));
         all.on_call(now);
         let all = *all;
         if !self.accounts.contains_key(account) {
-            self.make_room();
-            self.accounts.insert(account.clone(), Rates::new(now));
+            self.evict_if_full();
+            self.accounts
+                .insert(account.clone(), RateEstimate::new(now));
         }
         let Some(own) = self.accounts.get_mut(account) else {
             return Surge::None;
         };
         own.on_call(now);
         match surge(now, own, &all) {
-            Surge::None => self.surge_over_fleet(now, account),
-            surge @ Surge::LetIn(_) => surge,
+            Surge::None => self.fleet_surge(now, account),
+            surge @ Surge::AdmitFraction(_) => surge,
         }
     }
 
     /// Returns the rates of the calls that this router received, to be reported to other routers.
     pub(super) fn own_rates(&self, now: Instant) -> AccountRates {
-        let rate = |(account, rates): (&ClientAccountId, &Rates)| {
-            (AccountHash::from(account), rates.present_at(now))
+        let rate = |(account, rates): (&ClientAccountId, &RateEstimate)| {
+            (AccountHash::from(account), rates.current_at(now))
         };
         AccountRates::new(&self.accounts.iter().map(rate).collect())
     }
 
     /// Updates the rates across the fleet with the sum of the current reports.
-    pub(super) fn on_fleet(&mut self, now: Instant, sum: &RateSum) {
-        let all = self.fleet_all.get_or_insert_with(|| Rates::new(now));
+    pub(super) fn on_fleet_rates(&mut self, now: Instant, sum: &RateSum) {
+        let all = self.fleet_all.get_or_insert_with(|| RateEstimate::new(now));
         all.on_report(now, sum.all);
         for account in sum.accounts.keys() {
             self.fleet
                 .entry(*account)
-                .or_insert_with(|| Rates::new(now));
+                .or_insert_with(|| RateEstimate::new(now));
         }
         for (account, rates) in &mut self.fleet {
             let present = sum.accounts.get(account).copied();
             rates.on_report(now, present.unwrap_or_default());
         }
-        let is_silent = |r: &Rates| r.present <= 0.0 && r.usual < NEXT_TO_NONE;
-        self.fleet.retain(|_, r| !r.is_known(now) || !is_silent(r));
+        let is_silent = |r: &RateEstimate| r.current <= 0.0 && r.usual < NEGLIGIBLE_RATE;
+        self.fleet
+            .retain(|_, r| !r.has_usual_rate(now) || !is_silent(r));
     }
 
     /// Returns whether the account surges by its rate across the fleet.
-    fn surge_over_fleet(&self, now: Instant, account: &ClientAccountId) -> Surge {
+    fn fleet_surge(&self, now: Instant, account: &ClientAccountId) -> Surge {
         let own = self.fleet.get(&AccountHash::from(account));
         let both = own.zip(self.fleet_all.as_ref());
         both.map_or(Surge::None, |(own, all)| surge(now, own, all))
     }
 
     /// Evicts the account that has been idle longest if the maximum number of accounts is reached.
-    fn make_room(&mut self) {
-        if self.accounts.len() < ACCOUNTS_LIMIT {
+    fn evict_if_full(&mut self) {
+        if self.accounts.len() < MAX_ACCOUNTS {
             return;
         }
         let oldest = self.accounts.iter().min_by_key(|(_, rates)| rates.at);
@@ -199,20 +213,22 @@
 }
 
 /// Compares an account's growth over its usual rate with that of all other accounts together.
-fn surge(now: Instant, account: &Rates, all: &Rates) -> Surge {
-    if !account.is_known(now) || account.present * PRESENT.as_secs_f64() < FEWEST {
+fn surge(now: Instant, account: &RateEstimate, all: &RateEstimate) -> Surge {
+    if !account.has_usual_rate(now)
+        || account.current * CURRENT_TIME_CONSTANT.as_secs_f64() < MIN_SURGE_CALLS
+    {
         return Surge::None;
     }
-    let others_present = all.present - account.present;
+    let others_present = all.current - account.current;
     let others_usual = all.usual - account.usual;
     // If no other account has a usual rate, the account is compared with its own usual rate alone.
     let others_growth = match others_usual > 0.0 {
         true => (others_present / others_usual).max(1.0),
         false => 1.0,
     };
-    let threshold = account.usual * others_growth * MANY_TIMES;
-    match account.present > threshold {
-        true => Surge::LetIn((threshold / account.present).max(LEAST_LET_IN)),
+    let threshold = account.usual * others_growth * SURGE_FACTOR;
+    match account.current > threshold {
+        true => Surge::AdmitFraction((threshold / account.current).max(MIN_ADMITTED_FRACTION)),
         false => Surge::None,
     }
 }
--- a/src/admission/warm_up.rs
+++ b/src/admission/warm_up.rs
@@ -25,21 +25,21 @@
 
 /// Window within which calls to a cold target are counted: a second, and a margin for packets that
 /// overtake one another.
-const WINDOW: Duration = Duration::from_millis(1_050);
+const COUNTING_WINDOW: Duration = Duration::from_millis(1_050);
 
 /// Fraction of the bound that is used: while a change of the fleet spreads, two sets of routers may
 /// regard a target as assigned to them.
-const BOUND_PART: f64 = 0.5;
+const BOUND_FRACTION: f64 = 0.5;
 
 /// Maximum number of cached ranks, so that targets that no longer exist do not accumulate; enough
 /// for several fleets of targets.
-const RANKS_KEPT: usize = 4_096;
+const MAX_CACHED_RANKS: usize = 4_096;
 
 /// Load that a service's targets sustain while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WarmUp {
     /// Time for which a target stays cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Calls per second that a cold target sustains.
     pub calls_per_s: f64,
 }
@@ -68,7 +68,7 @@
     /// Returns the number of calls that all routers together send to a cold target within a second.
     fn calls(self, warm_up: WarmUp) -> u32 {
         let bound = warm_up.calls_per_s * self.excess + self.extra;
-        let used = warm_up.calls_per_s.min(bound * BOUND_PART).floor();
+        let used = warm_up.calls_per_s.min(bound * BOUND_FRACTION).floor();
         // One call may always run if the bound allows one.
         let min = if bound >= 1.0 { 1.0 } else { 0.0 };
         used.max(min) as u32
@@ -96,7 +96,7 @@
     /// Cached rank of this router among the candidates for each target; cleared when the routers
     /// change.
     ranks: HashMap<TargetId, usize>,
-    /// Times of this router's calls to each cold target within [`WINDOW`].
+    /// Times of this router's calls to each cold target within [`COUNTING_WINDOW`].
     sent: HashMap<TargetId, VecDeque<Instant>>,
 }
 
@@ -138,23 +138,23 @@
     /// Records that a call was sent to a cold target.
     pub fn on_send(&mut self, now: Instant, target: &TargetId) {
         let sent = self.sent.entry(target.clone()).or_default();
-        sent.retain(|at| now.since(*at) < WINDOW);
+        sent.retain(|at| now.since(*at) < COUNTING_WINDOW);
         sent.push_back(now);
     }
 
     /// Drops targets that got no call within the counting window.
     pub fn on_tick(&mut self, now: Instant) {
-        let is_recent = |at: &Instant| now.since(*at) < WINDOW;
+        let is_recent = |at: &Instant| now.since(*at) < COUNTING_WINDOW;
         self.sent
             .retain(|_, sent| sent.back().is_some_and(is_recent));
-        if self.ranks.len() > RANKS_KEPT {
+        if self.ranks.len() > MAX_CACHED_RANKS {
             self.ranks.clear();
         }
     }
 
     fn sent_within(&self, now: Instant, target: &TargetId) -> usize {
         let sent = self.sent.get(target);
-        let recent = |at: &&Instant| now.since(**at) < WINDOW;
+        let recent = |at: &&Instant| now.since(**at) < COUNTING_WINDOW;
         sent.map_or(0, |sent| sent.iter().filter(recent).count())
     }
 
@@ -164,8 +164,11 @@
             return *rank;
         }
         let ranked_before = |(me, others): (&VmHash, &[VmHash])| {
-            let own = draw(*me, target);
-            others.iter().filter(|vm| draw(**vm, target) > own).count()
+            let own = rendezvous_hash(*me, target);
+            others
+                .iter()
+                .filter(|vm| rendezvous_hash(**vm, target) > own)
+                .count()
         };
         let rank = self.routers.split_first().map_or(0, ranked_before);
         self.ranks.insert(target.clone(), rank);
@@ -174,6 +177,6 @@
 }
 
 /// Returns the rendezvous hash of a router and a target; the highest one ranks first.
-fn draw(vm: VmHash, target: &TargetId) -> u64 {
+fn rendezvous_hash(vm: VmHash, target: &TargetId) -> u64 {
     xxh3_64_with_seed(target.as_str().as_bytes(), vm.spread() as u64)
 }
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -10,7 +10,7 @@
     },
     discovery::{Discovery, TargetRecord},
     edge::Rules,
-    health::{Health, Outcome, Standing},
+    health::{Health, HealthStatus, Outcome},
     ids::{ConversationKey, DataHall, ServiceName, TargetId},
     load_account::LoadAccount,
     placement::{
@@ -128,7 +128,7 @@
         if scored.targets.is_empty() {
             return Err(self.placement_error(now, &plan.service));
         }
-        if !(self.admission).lets_in(now, &plan.service, plan.surge, plan.draw()) {
+        if !(self.admission).admits(now, &plan.service, plan.surge, plan.draw()) {
             self.admission.on_refused(now, &plan.service);
             return Err(PlacementError::AllFull);
         }
@@ -136,7 +136,7 @@
         let mut found = self.select(now, plan, &scored);
         let is_sound = found
             .as_ref()
-            .is_ok_and(|(_, view)| view.health_status < Standing::Suspected);
+            .is_ok_and(|(_, view)| view.health_status < HealthStatus::Suspected);
         if is_preselected && !is_sound {
             let all = self.all_targets(now, plan);
             scored_targets += all.targets.len();
@@ -206,7 +206,10 @@
         scored: &ScoredTargets,
     ) -> Result<(Rc<TargetRecord>, TargetView), PlacementError> {
         let targets = &scored.targets;
-        let slot_time = self.admission.room(now, &plan.service).held;
+        let slot_time = self
+            .admission
+            .capacity_estimate(now, &plan.service)
+            .slot_time;
         let context = ServiceContext {
             survival: Survival::new(self.load.age(now), slot_time),
             limit: self.admission.limit(&plan.service, plan.goal),
@@ -221,7 +224,7 @@
             for (view, target) in views.iter_mut().zip(targets) {
                 if self
                     .discovery
-                    .cold_until(now, target, warm_up.lasts)
+                    .cold_until(now, target, warm_up.duration)
                     .is_some()
                 {
                     let cold = &mut self.cold;
@@ -266,11 +269,12 @@
         now: Instant,
         ticket: &Ticket,
         outcome: Option<Outcome>,
-    ) -> Option<Standing> {
+    ) -> Option<HealthStatus> {
         let target = &ticket.target.id;
         self.load.on_end(target, ticket.work);
         if let (Some(Outcome::Good), Some(since)) = (outcome, ticket.slot_since) {
-            self.admission.on_held(&ticket.service, now.since(since));
+            self.admission
+                .on_slot_time(&ticket.service, now.since(since));
         }
         match outcome {
             Some(outcome) => self.health.on_outcome(now, target, outcome),
@@ -340,7 +344,7 @@
     ) -> Duration {
         match self.backoff_remaining(now, service) {
             Some(backoff) => withdrawals::retry_after(backoff, draw),
-            None => self.admission.come_back(now, service, left, draw),
+            None => self.admission.retry_after(now, service, left, draw),
         }
     }
 
@@ -399,7 +403,7 @@
         let holders = holders.filter_map(|id| self.discovery.get(id));
         let service = plan.service.clone();
         all.chain(holders).filter(move |t| {
-            t.service == service && self.health.standing(now, &t.id) < Standing::Suspected
+            t.service == service && self.health.status(now, &t.id) < HealthStatus::Suspected
         })
     }
 
@@ -457,11 +461,11 @@
         let deepest = plan.shared_parts().last();
         let read_elsewhere = context.read_elsewhere(missing);
         let traits = CallTraits {
-            at_home: read_elsewhere < MIN_FETCH_TOKENS,
+            has_cache_affinity: read_elsewhere < MIN_FETCH_TOKENS,
             surges: plan.surge.is_on(),
         };
         TargetView {
-            health_status: self.health.standing(now, id),
+            health_status: self.health.status(now, id),
             counts: self.load.call_counts(now, id),
             backlog: self.load.backlog(id, context.survival),
             missing,
@@ -473,7 +477,7 @@
             has_read: deepest.is_some_and(|p| self.cache.has_read(id, p.id)),
             cached_tokens: self.cache.cached_tokens(id),
             slots: target.slots,
-            max_calls: context.limit.most_calls(target.slots, traits),
+            max_calls: context.limit.max_calls(target.slots, traits),
             max_tokens: target.max_tokens,
             warmth: Warmth::Warm,
             in_local_hall: target.data_hall == self.hall,
--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -6,7 +6,7 @@
 use crate::{
     config::serving::KeyOwner,
     ids::{ClientAccountId, VmId},
-    limits::{AccountLimits, Demand, Grant, Limiter, ShareKeeper},
+    limits::{AccountLimits, Demand, Grant, Limiter, ShareAllocator},
     membership::datagram::Message,
     units::Instant,
 };
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(crate) struct Accounts {
     limiters: RefCell<HashMap<ClientAccountId, Limiter>>,
-    keepers: RefCell<HashMap<ClientAccountId, ShareKeeper>>,
+    keepers: RefCell<HashMap<ClientAccountId, ShareAllocator>>,
 }
 
 /// Gives a place in an account's concurrency back when dropped.
@@ -117,7 +117,7 @@
     let mut keepers = cx.accounts.keepers.borrow_mut();
     let keeper = keepers
         .entry(account.clone())
-        .or_insert_with(|| ShareKeeper::new(now));
+        .or_insert_with(|| ShareAllocator::new(now));
     Some(keeper.on_demand(now, to.clone(), demand, limits))
 }
 
--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -71,7 +71,7 @@
     let left = deadline(cx, arrived).unwrap_or(USUAL_PATIENCE);
     let dispatcher = cx.dispatcher.borrow();
     let age = cx.now().0;
-    let come_back = (dispatcher.admission).come_back_to_start(age, left, rand::random());
+    let come_back = (dispatcher.admission).retry_after_startup(age, left, rand::random());
     Refusal {
         come_back: Some(come_back),
         ..Refusal::new(ResultCode::NoConfig, "no configuration yet")
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -27,7 +27,7 @@
     fingerprint::Fingerprint,
     ids::TargetId,
     placement::choice::PlacementError,
-    retry::{Attempts, Fate},
+    retry::{Attempts, Execution},
     spans::HopSpan,
     units::{Instant, Rank},
 };
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Failed {
     /// Whether the target ran the call.
-    pub(crate) fate: Fate,
+    pub(crate) fate: Execution,
     /// How it ended.
     pub(crate) end: AttemptEnd,
     /// Nothing was sent, and no other target is left to try.
@@ -105,7 +105,7 @@
 
     fn nowhere(end: AttemptEnd) -> Self {
         Self {
-            fate: Fate::NotRun,
+            fate: Execution::NotRun,
             end,
             nowhere: true,
         }
@@ -113,7 +113,7 @@
 
     fn not_run(end: AttemptEnd) -> Self {
         Self {
-            fate: Fate::NotRun,
+            fate: Execution::NotRun,
             end,
             nowhere: false,
         }
@@ -121,7 +121,7 @@
 
     fn may_have_run(end: AttemptEnd) -> Self {
         Self {
-            fate: Fate::MayHaveRun,
+            fate: Execution::MayHaveRun,
             end,
             nowhere: false,
         }
@@ -137,7 +137,7 @@
     let (place, conn) = connect(cx, call).await?;
     let failed_fate = send(cx, call, place, conn, patience).await;
     if let Err(failed) = &failed_fate {
-        call.attempts.on_fate(failed.fate);
+        call.attempts.on_attempt_end(failed.fate);
     }
     failed_fate
 }
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -27,7 +27,7 @@
     dialect::{AnswerFacts, Page, Refusal},
     ids::ModelName,
     reply,
-    retry::Fate,
+    retry::Execution,
 };
 
 /// The largest plain answer that is read whole before it is passed on, in bytes.
@@ -205,7 +205,7 @@
                 Ok(answer) if answer.0.status.is_server_error() => {
                     last_answer = Some(answer);
                     Failed {
-                        fate: Fate::Ran,
+                        fate: Execution::Ran,
                         end: AttemptEnd::TargetError,
                         nowhere: false,
                     }
@@ -233,7 +233,7 @@
     }
     if !call
         .attempts
-        .may_go_on(call.route.kind, call.route.max_attempts)
+        .may_retry(call.route.kind, call.route.max_attempts)
     {
         return false;
     }
@@ -276,10 +276,10 @@
         None => AttemptEnd::TimeUp,
     };
     place.end(end);
-    call.attempts.on_fate(Fate::Ran);
+    call.attempts.on_attempt_end(Execution::Ran);
     let Some(Ok(collected)) = read else {
         return Err(Failed {
-            fate: Fate::Ran,
+            fate: Execution::Ran,
             end,
             nowhere: false,
         });
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -238,11 +238,11 @@
     let dispatcher = cx.dispatcher.borrow();
     let pause = dispatcher.retry_after(now, service, left, rand::random());
     cx.metrics.on_no_room(pause);
-    let room = dispatcher.admission.room(now, service);
+    let room = dispatcher.admission.capacity_estimate(now, service);
     let backoff = dispatcher.backoff_remaining(now, service);
     let ms = |d: Duration| d.as_millis() as u64;
     info!(cx.log, "no room"; "id" => call.id(), "service" => %service,
-        "short_for_ms" => room.short_for.map(ms), "slot_held_ms" => room.held.map(ms), "backoff_ms" => backoff.map(ms),
+        "short_for_ms" => room.shortage_age.map(ms), "slot_held_ms" => room.slot_time.map(ms), "backoff_ms" => backoff.map(ms),
         "account_surges" => call.plan.surge.is_on(), "left_ms" => ms(left), "come_back_ms" => ms(pause));
     pause
 }
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -15,7 +15,7 @@
     admission::account_rates::RateReport,
     ids::VmId,
     lifecycle::Phase,
-    limits::SHARE_EVERY,
+    limits::SHARE_INTERVAL,
     membership::{
         datagram::{Datagram, HallSums, Message, Stamp},
         heartbeats::HubDigests,
@@ -82,7 +82,7 @@
             last.is_young = false;
             cx.dispatcher.borrow_mut().cache.announce_again();
         }
-        if now.since(last.shares) >= SHARE_EVERY {
+        if now.since(last.shares) >= SHARE_INTERVAL {
             last.shares = now;
             ask_for_shares(&cx, &udp);
         }
@@ -143,8 +143,12 @@
         told.echo = to.echo;
         let is_near = to.hall.as_ref() == Some(&cx.cfg.data_hall);
         let (halls, rolls, of_halls) = match is_near {
-            true => (&sums.all, &rolls.for_own_hall, &rates.halls.near),
-            false => (&sums.own, &rolls.for_other_halls, &rates.halls.far),
+            true => (&sums.all, &rolls.for_own_hall, &rates.halls.for_own_hall),
+            false => (
+                &sums.own,
+                &rolls.for_other_halls,
+                &rates.halls.for_other_halls,
+            ),
         };
         told.rates = of_halls.iter().chain(&rates.own).cloned().collect();
         told.halls.clone_from(halls);
@@ -240,7 +244,7 @@
         hall: cx.cfg.data_hall.clone(),
         capacity: cx.cfg.strength,
         reader_ages: readers,
-        suspected: cx.dispatcher.borrow().health.suspected_here(now),
+        suspected: cx.dispatcher.borrow().health.unresponsive_targets(now),
         halls: Vec::new(),
         outages: cx.dispatcher.borrow().health.outages.notices(now),
         crashes: cx.dispatcher.borrow().quarantine.crash_notices(now),
@@ -311,7 +315,7 @@
         dispatcher.discovery.on_store_available(now, ago);
     }
     let admission = &mut dispatcher.admission;
-    admission.on_rates(now, &told.vm, &told.hall, told.rates);
+    admission.on_rate_reports(now, &told.vm, &told.hall, told.rates);
     let peer = told.vm.clone();
     let outages = dispatcher.health.outages.on_notices(now, &told.outages);
     if outages > 0 {
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -114,7 +114,7 @@
             cx.conns.forget(&target);
             info!(cx.log, "target"; "target" => %target, "verdict" => "gone", "why" => "still missing after the store's return");
         }
-        for (service, held) in cx.dispatcher.borrow().admission.learned() {
+        for (service, held) in cx.dispatcher.borrow().admission.mean_slot_times() {
             cx.metrics.on_held(service, held);
         }
         cx.peers.borrow_mut().on_tick(now);
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -60,7 +60,7 @@
         false => Vec::new(),
     };
     for (service, held) in &saved.held {
-        dispatcher.admission.on_recalled(service, *held);
+        dispatcher.admission.on_restored_slot_time(service, *held);
     }
     info!(cx.log, "saved prompts"; "parts" => saved.prompts.len(), "lapsed_targets" => lapsed.len());
     for (id, tokens, target) in saved.prompts.part_locations() {
@@ -97,7 +97,7 @@
 fn snapshot(cx: &Gateway) -> Saved {
     let dispatcher = cx.dispatcher.borrow();
     let has_read = |id: &TargetId| dispatcher.cache.cached_tokens(id).0 > 0;
-    let held = dispatcher.admission.learned();
+    let held = dispatcher.admission.mean_slot_times();
     Saved {
         prompts: PromptSnapshot::new(&dispatcher.cache.shared_parts()),
         targets: dispatcher.discovery.targets_to_save(has_read),
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -18,7 +18,7 @@
 use crate::{
     ResultCode,
     event_stream::{Event, EventSplitter},
-    retry::Fate,
+    retry::Execution,
     units::Instant,
 };
 
@@ -144,14 +144,14 @@
             } = *source;
             place.end(AttemptEnd::Answered);
             keep(cx, conn, &facts).await;
-            call.attempts.on_fate(Fate::Ran);
+            call.attempts.on_attempt_end(Execution::Ran);
             Ok(Beginning::Whole(head, bytes::Bytes::new()))
         }
         Next::Broken(end) => {
             source.place.end(end);
-            call.attempts.on_fate(Fate::MayHaveRun);
+            call.attempts.on_attempt_end(Execution::MayHaveRun);
             Err(Failed {
-                fate: Fate::MayHaveRun,
+                fate: Execution::MayHaveRun,
                 end,
                 nowhere: false,
             })
@@ -167,7 +167,7 @@
     body: Incoming,
     place: Place,
 ) -> Result<Beginning, Failed> {
-    call.attempts.on_fate(Fate::Ran);
+    call.attempts.on_attempt_end(Execution::Ran);
     let read = cx.clock.timeout_at(call.hold_until, body.collect()).await;
     let is_error = head.status.is_server_error();
     place.end(match is_error {
@@ -177,11 +177,11 @@
     let again = is_error
         && call
             .attempts
-            .may_go_on(call.route.kind, call.route.max_attempts);
+            .may_retry(call.route.kind, call.route.max_attempts);
     match read {
         Some(Ok(bytes)) if !again => Ok(Beginning::Whole(head, bytes.to_bytes())),
         _ => Err(Failed {
-            fate: Fate::Ran,
+            fate: Execution::Ran,
             end: AttemptEnd::TargetError,
             nowhere: false,
         }),
@@ -240,7 +240,7 @@
     tx: EventSender,
 ) {
     let mut event = first;
-    call.attempts.on_begun();
+    call.attempts.on_response_started();
     loop {
         call.last_event = event.id.or(call.last_event);
         if tx.send(Ok(event.bytes)).await.is_err() {
@@ -292,9 +292,9 @@
     broken.place.end(end);
     // The connection is closed before the next attempt, so that the first target stops.
     drop(broken.conn);
-    call.attempts.on_fate(Fate::MayHaveRun);
+    call.attempts.on_attempt_end(Execution::MayHaveRun);
     let mut failed = Failed {
-        fate: Fate::MayHaveRun,
+        fate: Execution::MayHaveRun,
         end,
         nowhere: false,
     };
@@ -304,7 +304,7 @@
                 return Ok((*source, event));
             }
             Ok(_) => Failed {
-                fate: Fate::Ran,
+                fate: Execution::Ran,
                 end: AttemptEnd::DoesNotFollow,
                 nowhere: true,
             },
--- a/src/edge/sums.rs
+++ b/src/edge/sums.rs
@@ -6,7 +6,7 @@
 use crate::{
     admission::{
         HallRates,
-        account_rates::{REPORT_RATES_EVERY, RateReport},
+        account_rates::{RATE_REPORT_INTERVAL, RateReport},
     },
     membership::datagram::HallSums,
     units::Instant,
@@ -60,7 +60,7 @@
 
     /// The rates, if they are due; else none.
     pub(super) fn take(&mut self, cx: &Gateway, now: Instant) -> Rates {
-        if now.since(self.0) < REPORT_RATES_EVERY {
+        if now.since(self.0) < RATE_REPORT_INTERVAL {
             return Rates::default();
         }
         self.0 = now;
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -11,7 +11,7 @@
 use crate::{
     config::{Change, Digest},
     explain::DecisionRecord,
-    health::Standing,
+    health::HealthStatus,
     ids::{DataHall, Region, Revision, ServiceName, TargetId, VmId},
     lifecycle::Phase,
     membership::peers::Member,
@@ -83,7 +83,7 @@
     target: TargetId,
     pool: ServiceName,
     /// What is believed of its health.
-    standing: Standing,
+    standing: HealthStatus,
     /// That it wants no calls, where it said so.
     withdrawn: Option<TargetWithdrawn>,
     /// Calls of all routers in progress there.
@@ -180,7 +180,7 @@
     let status = |t: &&Rc<crate::discovery::TargetRecord>| TargetStatus {
         target: t.id.clone(),
         pool: t.service.clone(),
-        standing: dispatcher.health.standing(now, &t.id),
+        standing: dispatcher.health.status(now, &t.id),
         withdrawn: dispatcher.withdrawals.get(now, &t.id).map(Into::into),
         calls: calls(&t.id),
         load: f64::from(calls(&t.id)) / mean(&t.service).max(1.0),
--- a/src/health.rs
+++ b/src/health.rs
@@ -21,16 +21,16 @@
 /// Failure rate above which a target is suspect. Services answer some calls with errors of their
 /// own even when healthy (one in seven on one of the users' workload sheets), and that rate must
 /// stay below.
-const SUSPECT_SHARE: f64 = 0.45;
+const SUSPECT_FAILURE_RATE: f64 = 0.45;
 
 /// Number of consecutive failures after which a target is suspect regardless of its failure rate.
-const SUSPECT_RUN: u32 = 3;
+const SUSPECT_CONSECUTIVE_FAILURES: u32 = 3;
 
 /// First pause of a suspect target; each further failure doubles it.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 
 /// Maximum pause, and thus the longest time for which a recovered target waits for its first call.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+const MAX_PAUSE: Duration = Duration::from_secs(3);
 
 /// Outcome of a call at a target, as far as it indicates the target's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,17 +58,17 @@
 }
 
 #[derive(Debug, Default)]
-struct Record {
+struct TargetState {
     /// Exponential moving average of failures, from 0 to 1.
-    failing: f64,
+    failure_rate: f64,
     /// Number of consecutive failures.
-    run: u32,
+    consecutive_failures: u32,
     /// Number of pauses so far, which determines the length of the next one.
     pauses: u32,
     /// End of the current or last pause; `None` if the target is not suspect.
     paused_until: Option<Instant>,
     /// Whether a trial call is in progress.
-    trial: bool,
+    trial_in_progress: bool,
     /// End of the short time after a refusal in which other targets are tried first.
     full_until: Option<Instant>,
 }
@@ -79,7 +79,7 @@
 /// Health of a target as this router sees it, from best to worst.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum HealthStatus {
     /// The target gets calls.
     #[default]
     Well,
@@ -97,27 +97,27 @@
 
 /// Time after which a plain service's target that has calls in progress but sends nothing is
 /// stalled: its work takes 15 ms and rarely 110 ms (users' workload sheets).
-const PLAIN_STALLS: Duration = Duration::from_millis(220);
+const PLAIN_STALL_TIMEOUT: Duration = Duration::from_millis(220);
 
 /// Time after which a model engine that has calls in progress but sends nothing is stalled; it may
 /// have to process several long prompts first.
-const ENGINE_STALLS: Duration = Duration::from_millis(900);
+const ENGINE_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Calls of this router in progress at one target.
 #[derive(Debug)]
-struct Waiting {
+struct CallsInProgress {
     calls: u32,
     /// Time of the last data from the target, or of the first call sent to it while it was idle.
     last_activity: Instant,
     /// Time without data after which the target is stalled.
-    stalls: Duration,
+    stall_timeout: Duration,
 }
 
 /// Health of all targets.
 #[derive(Debug, Default)]
 pub struct Health {
-    records: HashMap<TargetId, Record>,
-    waiting: HashMap<TargetId, Waiting>,
+    records: HashMap<TargetId, TargetState>,
+    in_progress: HashMap<TargetId, CallsInProgress>,
     suspicions: Suspicions,
     /// Targets that were recently found to be down.
     pub outages: Outages,
@@ -125,23 +125,26 @@
 
 impl Health {
     /// Returns the health of a target at `now`.
-    pub fn standing(&self, now: Instant, target: &TargetId) -> Standing {
+    pub fn status(&self, now: Instant, target: &TargetId) -> HealthStatus {
         let record = self.records.get(target);
-        let paused = record.and_then(|r| r.paused_until.map(|until| now < until || r.trial));
+        let paused = record.and_then(|r| {
+            r.paused_until
+                .map(|until| now < until || r.trial_in_progress)
+        });
         let is_full = record.is_some_and(|r| r.full_until.is_some_and(|t| now < t));
         match paused {
-            Some(true) => Standing::Paused,
-            _ if self.is_stalled(now, target) => Standing::Stalled,
-            Some(false) => Standing::OnTrial,
-            None if self.is_suspected(now, target) => Standing::Suspected,
-            None if is_full => Standing::Full,
-            None => Standing::Well,
+            Some(true) => HealthStatus::Paused,
+            _ if self.is_stalled(now, target) => HealthStatus::Stalled,
+            Some(false) => HealthStatus::OnTrial,
+            None if self.is_suspected(now, target) => HealthStatus::Suspected,
+            None if is_full => HealthStatus::Full,
+            None => HealthStatus::Well,
         }
     }
 
     fn is_stalled(&self, now: Instant, target: &TargetId) -> bool {
-        let waiting = self.waiting.get(target).filter(|w| w.calls > 0);
-        waiting.is_some_and(|w| now.since(w.last_activity) >= w.stalls)
+        let waiting = self.in_progress.get(target).filter(|w| w.calls > 0);
+        waiting.is_some_and(|w| now.since(w.last_activity) >= w.stall_timeout)
     }
 
     fn is_suspected(&self, now: Instant, target: &TargetId) -> bool {
@@ -151,7 +154,7 @@
 
     /// Records that a target sent a part of an answer.
     pub fn on_activity(&mut self, now: Instant, target: &TargetId) {
-        if let Some(waiting) = self.waiting.get_mut(target) {
+        if let Some(waiting) = self.in_progress.get_mut(target) {
             waiting.last_activity = now;
         }
     }
@@ -162,9 +165,9 @@
     }
 
     /// Returns the targets that are stalled or paused at this router, to be reported to peers.
-    pub fn suspected_here(&self, now: Instant) -> Vec<TargetHash> {
-        let is_unresponsive = |t: &&TargetId| self.standing(now, t) >= Standing::Stalled;
-        let known = self.records.keys().chain(self.waiting.keys());
+    pub fn unresponsive_targets(&self, now: Instant) -> Vec<TargetHash> {
+        let is_unresponsive = |t: &&TargetId| self.status(now, t) >= HealthStatus::Stalled;
+        let known = self.records.keys().chain(self.in_progress.keys());
         let mut all: Vec<TargetHash> = known
             .filter(is_unresponsive)
             .map(TargetHash::from)
@@ -174,8 +177,8 @@
         all
     }
 
-    fn on_gone(&mut self, target: &TargetId) {
-        if let Some(waiting) = self.waiting.get_mut(target) {
+    fn on_call_end(&mut self, target: &TargetId) {
+        if let Some(waiting) = self.in_progress.get_mut(target) {
             waiting.calls = waiting.calls.saturating_sub(1);
         }
     }
@@ -183,31 +186,34 @@
     /// Records that a call is sent to a target. Engines may take longer than plain services until
     /// they send anything.
     pub fn on_send(&mut self, now: Instant, target: &TargetId, is_engine: bool) {
-        let waiting = self.waiting.entry(target.clone()).or_insert(Waiting {
-            calls: 0,
-            last_activity: now,
-            stalls: if is_engine {
-                ENGINE_STALLS
-            } else {
-                PLAIN_STALLS
-            },
-        });
+        let waiting = self
+            .in_progress
+            .entry(target.clone())
+            .or_insert(CallsInProgress {
+                calls: 0,
+                last_activity: now,
+                stall_timeout: if is_engine {
+                    ENGINE_STALL_TIMEOUT
+                } else {
+                    PLAIN_STALL_TIMEOUT
+                },
+            });
         if waiting.calls == 0 {
             waiting.last_activity = now;
         }
         waiting.calls += 1;
-        if self.standing(now, target) == Standing::OnTrial
+        if self.status(now, target) == HealthStatus::OnTrial
             && let Some(record) = self.records.get_mut(target)
         {
-            record.trial = true;
+            record.trial_in_progress = true;
         }
     }
 
     /// Records that a call was abandoned before its outcome was known.
     pub fn on_abandon(&mut self, target: &TargetId) {
-        self.on_gone(target);
+        self.on_call_end(target);
         if let Some(record) = self.records.get_mut(target) {
-            record.trial = false;
+            record.trial_in_progress = false;
         }
     }
 
@@ -217,51 +223,54 @@
         now: Instant,
         target: &TargetId,
         outcome: Outcome,
-    ) -> Option<Standing> {
-        let before = self.standing(now, target);
-        self.on_gone(target);
+    ) -> Option<HealthStatus> {
+        let before = self.status(now, target);
+        self.on_call_end(target);
         if matches!(outcome, Outcome::Good | Outcome::Full | Outcome::Error) {
             self.on_activity(now, target);
         }
         let record = self.records.entry(target.clone()).or_default();
-        record.trial = false;
+        record.trial_in_progress = false;
         match outcome {
             Outcome::Good => record.on_good(),
             Outcome::Full => record.full_until = Some(now + FULL_PAUSE),
             Outcome::Error | Outcome::Broken => record.on_failure(now),
         }
-        let after = self.standing(now, target);
+        let after = self.status(now, target);
         (before != after).then_some(after)
     }
 
     /// Drops the state of targets that are not listed, except counts of calls still in progress.
     pub fn retain(&mut self, listed: impl Fn(&TargetId) -> bool) {
         self.records.retain(|id, _| listed(id));
-        self.waiting.retain(|id, w| w.calls > 0 || listed(id));
+        self.in_progress.retain(|id, w| w.calls > 0 || listed(id));
     }
 }
 
-impl Record {
+impl TargetState {
     fn on_good(&mut self) {
-        self.run = 0;
-        self.failing *= 1.0 - OUTCOME_WEIGHT;
+        self.consecutive_failures = 0;
+        self.failure_rate *= 1.0 - OUTCOME_WEIGHT;
         if self.paused_until.take().is_some() {
             // After a successful trial the target is used again, but its failure rate stays high
             // enough that a relapse is detected at once.
-            self.failing = SUSPECT_SHARE * 0.8;
+            self.failure_rate = SUSPECT_FAILURE_RATE * 0.8;
         }
-        if self.failing < SUSPECT_SHARE / 4.0 {
+        if self.failure_rate < SUSPECT_FAILURE_RATE / 4.0 {
             self.pauses = 0;
         }
     }
 
     fn on_failure(&mut self, now: Instant) {
-        self.run += 1;
-        self.failing = self.failing * (1.0 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
+        self.consecutive_failures += 1;
+        self.failure_rate = self.failure_rate * (1.0 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
         let was_paused = self.paused_until.is_some();
-        if was_paused || self.run >= SUSPECT_RUN || self.failing > SUSPECT_SHARE {
+        if was_paused
+            || self.consecutive_failures >= SUSPECT_CONSECUTIVE_FAILURES
+            || self.failure_rate > SUSPECT_FAILURE_RATE
+        {
             let pause = FIRST_PAUSE * 2u32.saturating_pow(self.pauses.min(8));
-            self.paused_until = Some(now + pause.min(LONGEST_PAUSE));
+            self.paused_until = Some(now + pause.min(MAX_PAUSE));
             self.pauses += 1;
         }
     }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -12,16 +12,16 @@
 use crate::{ids::VmId, units::Instant};
 
 /// Interval at which routers report demand and receive shares.
-pub const SHARE_EVERY: Duration = Duration::from_secs(1);
+pub const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time for which a grant is valid.
-pub const GRANT_VALID: Duration = Duration::from_secs(3);
+pub const GRANT_TTL: Duration = Duration::from_secs(3);
 
 /// Fraction of a limit that is divided evenly among routers without grants.
-const FLOOR_PART: f64 = 0.1;
+const FLOOR_FRACTION: f64 = 0.1;
 
 /// Maximum burst, in seconds of the granted rate.
-const BURST_SECONDS: f64 = 1.0;
+const MAX_BURST_SECONDS: f64 = 1.0;
 
 /// A router's demand for an account's limits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,18 +31,18 @@
     /// Requests in progress plus requests rejected for concurrency since the last report.
     pub in_flight: u32,
     /// Rate that an earlier grant still allows, in thousandths of a request per second.
-    pub held_rate_milli: u64,
+    pub granted_rate_milli: u64,
     /// Number of requests in progress that an earlier grant still allows.
-    pub held_concurrency: u32,
+    pub granted_concurrency: u32,
 }
 
 impl Demand {
     /// Returns a grant that renews exactly what the router still holds.
     fn held(&self) -> Grant {
         Grant {
-            rate_milli: self.held_rate_milli,
-            concurrency: self.held_concurrency,
-            valid: GRANT_VALID,
+            rate_milli: self.granted_rate_milli,
+            concurrency: self.granted_concurrency,
+            valid: GRANT_TTL,
         }
     }
 }
@@ -74,16 +74,16 @@
     /// Last grant, with the time of its receipt.
     grant: Option<(Instant, Grant)>,
     /// Tokens in the bucket; each admitted request takes one.
-    level: f64,
+    tokens: f64,
     /// Time of the last refill.
-    filled: Instant,
+    refilled: Instant,
     in_flight: u32,
     /// Requests that arrived since the last report.
-    arrived: u32,
+    arrivals: u32,
     /// Requests rejected for concurrency since the last report.
-    turned_away: u32,
+    rejected: u32,
     /// Time of the last report.
-    told: Instant,
+    reported: Instant,
 }
 
 impl Limiter {
@@ -91,12 +91,12 @@
     pub fn new(now: Instant) -> Self {
         Self {
             grant: None,
-            level: f64::MAX,
-            filled: now,
+            tokens: f64::MAX,
+            refilled: now,
             in_flight: 0,
-            arrived: 0,
-            turned_away: 0,
-            told: now,
+            arrivals: 0,
+            rejected: 0,
+            reported: now,
         }
     }
 
@@ -107,20 +107,20 @@
         limits: AccountLimits,
         routers: usize,
     ) -> Result<(), Duration> {
-        self.arrived += 1;
+        self.arrivals += 1;
         let (rate, concurrency) = self.share(now, limits, routers);
-        self.fill(now, rate);
+        self.refill(now, rate);
         match () {
             () if self.in_flight >= concurrency => {
-                self.turned_away += 1;
-                Err(SHARE_EVERY)
+                self.rejected += 1;
+                Err(SHARE_INTERVAL)
             }
-            () if self.level < 1.0 => {
-                let wait = (1.0 - self.level) / rate.max(0.001);
+            () if self.tokens < 1.0 => {
+                let wait = (1.0 - self.tokens) / rate.max(0.001);
                 Err(Duration::from_secs_f64(wait.clamp(0.05, 60.0)))
             }
             () => {
-                self.level -= 1.0;
+                self.tokens -= 1.0;
                 self.in_flight += 1;
                 Ok(())
             }
@@ -145,17 +145,17 @@
     /// Returns the demand to report to the account's owner, and begins the next reporting interval;
     /// `None` if there is nothing to report.
     pub fn take_demand(&mut self, now: Instant) -> Option<Demand> {
-        let seconds = now.since(self.told).as_secs_f64().max(0.001);
+        let seconds = now.since(self.reported).as_secs_f64().max(0.001);
         let granted = self.live_grant(now).unwrap_or_default();
         let demand = Demand {
-            rate_milli: (f64::from(self.arrived) * 1000.0 / seconds) as u64,
-            in_flight: self.in_flight + self.turned_away,
-            held_rate_milli: granted.rate_milli,
-            held_concurrency: granted.concurrency,
+            rate_milli: (f64::from(self.arrivals) * 1000.0 / seconds) as u64,
+            in_flight: self.in_flight + self.rejected,
+            granted_rate_milli: granted.rate_milli,
+            granted_concurrency: granted.concurrency,
         };
-        self.told = now;
-        self.arrived = 0;
-        self.turned_away = 0;
+        self.reported = now;
+        self.arrivals = 0;
+        self.rejected = 0;
         (demand != Demand::default()).then_some(demand)
     }
 
@@ -176,12 +176,12 @@
         (now.since(at) < grant.valid).then_some(grant)
     }
 
-    fn fill(&mut self, now: Instant, rate: f64) {
-        let gained = now.since(self.filled).as_secs_f64() * rate;
+    fn refill(&mut self, now: Instant, rate: f64) {
+        let gained = now.since(self.refilled).as_secs_f64() * rate;
         // A rate below one request per second still admits one request once enough time has passed.
-        let capacity = (rate * BURST_SECONDS).max(1.0);
-        self.level = (self.level + gained).min(capacity);
-        self.filled = now;
+        let capacity = (rate * MAX_BURST_SECONDS).max(1.0);
+        self.tokens = (self.tokens + gained).min(capacity);
+        self.refilled = now;
     }
 }
 
@@ -191,13 +191,13 @@
 /// become the owner does not know earlier grants; until these have expired, it renews to each
 /// router exactly what that router reports to hold.
 #[derive(Debug, Clone)]
-pub struct ShareKeeper {
+pub struct ShareAllocator {
     since: Instant,
     demands: HashMap<VmId, (Instant, Demand)>,
     granted: HashMap<VmId, (Instant, Grant)>,
 }
 
-impl ShareKeeper {
+impl ShareAllocator {
     /// Creates the state of a router that owns the account from `now` on and knows of no grants.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -209,7 +209,7 @@
 
     /// Returns whether no router has reported demand for so long that all grants have expired.
     pub fn is_idle(&self, now: Instant) -> bool {
-        let lapsed = |at: &Instant| now.since(*at) >= GRANT_VALID;
+        let lapsed = |at: &Instant| now.since(*at) >= GRANT_TTL;
         self.demands.values().all(|(at, _)| lapsed(at)) && lapsed(&self.since)
     }
 
@@ -221,7 +221,7 @@
         demand: Demand,
         limits: AccountLimits,
     ) -> Grant {
-        let fresh = |at: Instant| now.since(at) < GRANT_VALID;
+        let fresh = |at: Instant| now.since(at) < GRANT_TTL;
         self.demands.retain(|_, (at, _)| fresh(*at));
         self.granted.retain(|_, (at, _)| fresh(*at));
         self.demands.insert(from.clone(), (now, demand));
@@ -245,7 +245,7 @@
         let granted = others.fold((0, 0), |(rate, concurrency), (_, (_, g))| {
             (rate + g.rate_milli, concurrency + u64::from(g.concurrency))
         });
-        let fraction = 1.0 - FLOOR_PART;
+        let fraction = 1.0 - FLOOR_FRACTION;
         let rate = (f64::from(limits.requests_per_s) * 1000.0 * fraction) as u64;
         let concurrency = (f64::from(limits.concurrency) * fraction) as u64;
         let rate_milli = fair_share(rate, rates, from).min(rate.saturating_sub(granted.0));
@@ -253,7 +253,7 @@
         Grant {
             rate_milli,
             concurrency: in_flight.min(concurrency.saturating_sub(granted.1)) as u32,
-            valid: GRANT_VALID,
+            valid: GRANT_TTL,
         }
     }
 }
@@ -261,8 +261,8 @@
 /// Returns the rate and the concurrency that every router may use without a grant.
 fn floor(limits: AccountLimits, routers: usize) -> (f64, u32) {
     let n = routers.max(1) as f64;
-    let rate = f64::from(limits.requests_per_s) * FLOOR_PART / n;
-    let concurrency = f64::from(limits.concurrency) * FLOOR_PART / n;
+    let rate = f64::from(limits.requests_per_s) * FLOOR_FRACTION / n;
+    let concurrency = f64::from(limits.concurrency) * FLOOR_FRACTION / n;
     (rate, concurrency.floor() as u32)
 }
 
--- a/src/outages.rs
+++ b/src/outages.rs
@@ -15,23 +15,23 @@
 /// Maximum time between sending a call and the close of its connection for the target to be
 /// regarded as down: some round trips of a few milliseconds. A target that runs the call and loses
 /// its answer takes longer (15 ms of work on the users' workload sheets).
-const AT_ONCE: Duration = Duration::from_millis(15);
+const IMMEDIATE_CLOSE: Duration = Duration::from_millis(15);
 
 /// Time for which a target that is down is avoided if others have capacity; a target that flaps is
 /// down for about a second.
-const LEFT_ALONE: Duration = Duration::from_millis(800);
+const AVOIDANCE_TIME: Duration = Duration::from_millis(800);
 
 /// Maximum number of times that this time doubles while the target is still down when it is tried
 /// again. The target is then avoided until its entry expires, which takes three heartbeats of more
 /// than a second.
-const DOUBLED: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// Time after the end of an avoidance within which a further failure continues the same outage:
 /// enough for a few of hundreds of routers to have a call for the target.
-const GOES_ON: Duration = Duration::from_secs(1);
+const CONTINUATION_WINDOW: Duration = Duration::from_secs(1);
 
 /// Time between two reports of an outage within which both concern the same failure.
-const SAME_OUTAGE: Duration = Duration::from_millis(200);
+const DUPLICATE_WINDOW: Duration = Duration::from_millis(200);
 
 /// An outage as routers announce it to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,8 +52,8 @@
 
 impl Outage {
     /// Returns the time for which the target is avoided.
-    fn left_alone(self) -> Duration {
-        LEFT_ALONE * 2_u32.pow(self.repeats.min(DOUBLED))
+    fn avoidance_time(self) -> Duration {
+        AVOIDANCE_TIME * 2_u32.pow(self.repeats.min(MAX_DOUBLINGS))
     }
 
     fn age(self, now: Instant) -> Duration {
@@ -61,13 +61,13 @@
     }
 
     /// Returns whether the target is still avoided.
-    fn is_on(self, now: Instant) -> bool {
-        self.age(now) < self.left_alone()
+    fn is_active(self, now: Instant) -> bool {
+        self.age(now) < self.avoidance_time()
     }
 
     /// Returns whether a further failure continues this outage.
     fn may_go_on(self, now: Instant) -> bool {
-        self.age(now) < self.left_alone() + GOES_ON
+        self.age(now) < self.avoidance_time() + CONTINUATION_WINDOW
     }
 }
 
@@ -83,7 +83,7 @@
     /// Records that a connection closed without an answer, `after` a call was sent on it. Returns
     /// whether the target is therefore regarded as down.
     pub fn on_broke(&mut self, now: Instant, target: TargetHash, after: Duration) -> bool {
-        let is_out = after <= AT_ONCE;
+        let is_out = after <= IMMEDIATE_CLOSE;
         if is_out {
             self.find(now, target);
         }
@@ -109,12 +109,15 @@
 
     /// Returns whether a target is avoided.
     pub fn is_out(&self, now: Instant, target: TargetHash) -> bool {
-        self.found.get(&target).is_some_and(|o| o.is_on(now))
+        self.found.get(&target).is_some_and(|o| o.is_active(now))
     }
 
     /// Returns the outages to announce to peers.
     pub fn notices(&self, now: Instant) -> Vec<OutageNotice> {
-        let on = self.found.iter().filter(|(_, outage)| outage.is_on(now));
+        let on = self
+            .found
+            .iter()
+            .filter(|(_, outage)| outage.is_active(now));
         let notice = |(target, outage): (&TargetHash, &Outage)| OutageNotice {
             target: *target,
             age_ms: outage.age(now).as_millis() as u16,
@@ -136,7 +139,7 @@
     /// Records an outage that was found at `at`; returns whether it is new.
     fn find(&mut self, at: Instant, target: TargetHash) -> bool {
         let repeats = match self.found.get(&target) {
-            Some(known) if at.since(known.at) <= SAME_OUTAGE => return false,
+            Some(known) if at.since(known.at) <= DUPLICATE_WINDOW => return false,
             Some(known) if known.may_go_on(at) => known.repeats + 1,
             _ => 0,
         };
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -12,7 +12,7 @@
 use super::spread::{Estimate, Load, Spread, Survival};
 use crate::{
     admission::{surge::Surge, warm_up::Warmth},
-    health::Standing,
+    health::HealthStatus,
     ids::TargetId,
     target_counts::CallCounts,
     units::Tokens,
@@ -73,7 +73,7 @@
     /// Id of the target.
     pub target: TargetId,
     /// Health of the target as estimated by this router.
-    pub health_status: Standing,
+    pub health_status: HealthStatus,
     /// Calls in progress at the target.
     pub counts: CallCounts,
     /// Tokens that the target still has to read for calls in progress.
@@ -152,7 +152,7 @@
     fn limit_slack(&self) -> f64 {
         match self.surge {
             Surge::None => LIMIT_SLACK_DEVIATIONS,
-            Surge::LetIn(_) => -LIMIT_SLACK_DEVIATIONS,
+            Surge::AdmitFraction(_) => -LIMIT_SLACK_DEVIATIONS,
         }
     }
 
@@ -302,10 +302,12 @@
 }
 
 /// Returns the best standing among the targets, or `OnTrial` for calls that may try a suspect target.
-fn best_health_status(available: &[(usize, &TargetView)], repeatable: bool) -> Standing {
+fn best_health_status(available: &[(usize, &TargetView)], repeatable: bool) -> HealthStatus {
     let best = available.iter().map(|o| o.1.health_status).min();
     match best.unwrap_or_default() {
-        Standing::Well | Standing::Full if repeatable && on_trial(available) => Standing::OnTrial,
+        HealthStatus::Well | HealthStatus::Full if repeatable && on_trial(available) => {
+            HealthStatus::OnTrial
+        }
         best => best,
     }
 }
@@ -313,7 +315,7 @@
 fn on_trial(available: &[(usize, &TargetView)]) -> bool {
     available
         .iter()
-        .any(|o| o.1.health_status == Standing::OnTrial)
+        .any(|o| o.1.health_status == HealthStatus::OnTrial)
 }
 
 fn best(
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -9,7 +9,7 @@
 
 /// Whether a target ran a call that was sent to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum Execution {
     /// The target did not run the call and never will: the connection never opened, or the target
     /// said so.
     NotRun,
@@ -32,7 +32,7 @@
     /// Whether any attempt ran or may have run.
     may_have_run: bool,
     /// Whether the caller has received a part of the answer.
-    begun: bool,
+    response_started: bool,
 }
 
 impl Attempts {
@@ -42,13 +42,13 @@
     }
 
     /// Records the end of an attempt.
-    pub fn on_fate(&mut self, fate: Fate) {
-        self.may_have_run |= fate != Fate::NotRun;
+    pub fn on_attempt_end(&mut self, fate: Execution) {
+        self.may_have_run |= fate != Execution::NotRun;
     }
 
     /// Records that the caller has received a part of the answer.
-    pub fn on_begun(&mut self) {
-        self.begun = true;
+    pub fn on_response_started(&mut self) {
+        self.response_started = true;
     }
 
     /// Returns the number of targets that the call was sent to.
@@ -62,8 +62,8 @@
     }
 
     /// Returns whether another target may be tried.
-    pub fn may_go_on(self, kind: CallKind, max_attempts: u32) -> bool {
-        let is_repeatable = match self.begun {
+    pub fn may_retry(self, kind: CallKind, max_attempts: u32) -> bool {
+        let is_repeatable = match self.response_started {
             true => kind.is_resumable(),
             false => kind.is_repeatable(),
         };
@@ -73,12 +73,12 @@
 
 /// Maximum fraction of the budget that is used, because other routers' counts are slightly out of
 /// date.
-const USED_PART: f64 = 0.8;
+const USABLE_FRACTION: f64 = 0.8;
 
 /// Fraction of its share that a router may use within its first window, because it does not know
 /// what it used before a restart. Two restarts of all routers within one window thus take a tenth
 /// of the budget each, which is the fifth of the budget that is left unused.
-const STARTING_PART: f64 = 0.1;
+const STARTUP_FRACTION: f64 = 0.1;
 
 /// Size of the fleet's retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -106,7 +106,7 @@
     /// Time of the last observation.
     last: Instant,
     /// Observed shares, each smaller than all later ones.
-    rising: VecDeque<(Instant, f64)>,
+    window_minima: VecDeque<(Instant, f64)>,
 }
 
 impl FleetShare {
@@ -114,33 +114,33 @@
     /// to be alive. `window` is the window of the budget.
     pub fn on_share(&mut self, now: Instant, share: f64, window: Duration) {
         if now.since(self.last) >= window {
-            self.rising.clear();
+            self.window_minima.clear();
             self.since = None;
         }
         self.since = self.since.or(Some(now));
         self.last = now;
         let is_old = |at: Instant| now.since(at) >= window;
         // The last expired observation was in force when the window began.
-        while self.rising.get(1).is_some_and(|(at, _)| is_old(*at)) {
-            self.rising.pop_front();
+        while self.window_minima.get(1).is_some_and(|(at, _)| is_old(*at)) {
+            self.window_minima.pop_front();
         }
-        while self.rising.back().is_some_and(|(_, s)| *s > share) {
-            self.rising.pop_back();
+        while self.window_minima.back().is_some_and(|(_, s)| *s > share) {
+            self.window_minima.pop_back();
         }
         // An equal share has been in force since the earlier observation.
-        if self.rising.back().is_none_or(|(_, s)| *s < share) {
-            self.rising.push_back((now, share));
+        if self.window_minima.back().is_none_or(|(_, s)| *s < share) {
+            self.window_minima.push_back((now, share));
         }
     }
 
     /// Returns the share that may be used.
     pub fn usable(&self, now: Instant, window: Duration) -> f64 {
         let observed = self.since.is_some_and(|at| now.since(at) >= window);
-        let least = self.rising.front().map_or(0.0, |(_, s)| *s);
+        let least = self.window_minima.front().map_or(0.0, |(_, s)| *s);
         if observed {
             least
         } else {
-            least * STARTING_PART
+            least * STARTUP_FRACTION
         }
     }
 }
@@ -184,7 +184,7 @@
         let rule = self.rule;
         let window = self.window(now, service);
         let by_calls = rule.ratio * window.calls.len() as f64;
-        let allowed = (by_calls + rule.extra * share) * USED_PART;
+        let allowed = (by_calls + rule.extra * share) * USABLE_FRACTION;
         let fits = (window.repeats.len() as f64) + 1.0 <= allowed;
         if fits {
             window.repeats.push_back(now);
--- a/src/suspicions.rs
+++ b/src/suspicions.rs
@@ -13,10 +13,10 @@
 
 /// Number of peers that must suspect a target for it to be suspected here; a single peer may have a
 /// bad link itself.
-const SUSPECTING_PEERS: usize = 2;
+const MIN_SUSPECTING_PEERS: usize = 2;
 
 /// Time for which a peer's report counts.
-const SUSPICION_EXPIRES: Duration = Duration::from_millis(1_200);
+const SUSPICION_TTL: Duration = Duration::from_millis(1_200);
 
 /// Last report of a peer that suspects any target.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 impl Suspicions {
     /// Replaces the report of a peer by all targets that it suspects now.
     pub(crate) fn on_report(&mut self, now: Instant, peer: VmId, mut targets: Vec<TargetHash>) {
-        self.withdraw(&peer);
+        self.remove_report(&peer);
         if targets.is_empty() {
             return;
         }
@@ -54,13 +54,13 @@
         let Some(peers) = self.by_target.get(&target) else {
             return false;
         };
-        let is_recent = |report: &Report| now.since(report.at) < SUSPICION_EXPIRES;
+        let is_recent = |report: &Report| now.since(report.at) < SUSPICION_TTL;
         let suspects = |peer: &&VmId| self.reports.get(*peer).is_some_and(is_recent);
-        peers.iter().filter(suspects).count() >= SUSPECTING_PEERS
+        peers.iter().filter(suspects).count() >= MIN_SUSPECTING_PEERS
     }
 
     /// Removes the last report of a peer.
-    fn withdraw(&mut self, peer: &VmId) {
+    fn remove_report(&mut self, peer: &VmId) {
         let Some(before) = self.reports.remove(peer) else {
             return;
         };
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -5,7 +5,7 @@
 use crate::{
     admission::warm_up::Warmth,
     discovery::TargetRecord,
-    health::Standing,
+    health::HealthStatus,
     ids::ServiceName,
     target_counts::InProgress,
     units::{Instant, Tokens},
@@ -33,7 +33,7 @@
     /// Target from whose memory the prompt is copied, if that saves reading.
     pub fetch_from: Option<Rc<TargetRecord>>,
     /// Health of the target as estimated when it was chosen.
-    pub health_status: Standing,
+    pub health_status: HealthStatus,
     /// How far the target had warmed up.
     pub warmth: Warmth,
     /// The service that was requested.
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -16,7 +16,7 @@
 const GOAL: Duration = Duration::from_millis(300);
 
 const HOME: CallTraits = CallTraits {
-    at_home: true,
+    has_cache_affinity: true,
     surges: false,
 };
 
@@ -27,7 +27,7 @@
 fn learned(held: Duration) -> Admission {
     let mut admission = Admission::new(hall("yard"));
     for _ in 0..100 {
-        admission.on_held(&"writer".parse().unwrap(), held);
+        admission.on_slot_time(&"writer".parse().unwrap(), held);
     }
     admission
 }
@@ -45,20 +45,20 @@
     #[case] most: u32,
 ) {
     let limit = learned(held).limit(&"writer".parse().unwrap(), GOAL);
-    assert_eq!(limit.most_calls(slots, HOME), most);
+    assert_eq!(limit.max_calls(slots, HOME), most);
 }
 
 #[test]
 fn only_the_slots_count_before_anything_is_learned() {
     let limit = Admission::new(hall("yard")).limit(&"writer".parse().unwrap(), GOAL);
-    assert_eq!(limit.most_calls(16, HOME), 16);
+    assert_eq!(limit.max_calls(16, HOME), 16);
     let away = CallTraits::default();
-    assert_eq!(limit.most_calls(16, away), 12, "a quarter is kept");
+    assert_eq!(limit.max_calls(16, away), 12, "a quarter is kept");
     let surges = CallTraits {
         surges: true,
         ..HOME
     };
-    assert_eq!(limit.most_calls(16, surges), 14, "some are for others");
+    assert_eq!(limit.max_calls(16, surges), 14, "some are for others");
 }
 
 /// A pause never exceeds what a caller heeds, a third of its time, and callers are spread.
@@ -68,7 +68,7 @@
     let service = "writer".parse().unwrap();
     let pause = |admission: &Admission, now, left, draw| {
         admission
-            .come_back(at(now), &service, ms(left), draw)
+            .retry_after(at(now), &service, ms(left), draw)
             .as_millis()
     };
     assert_eq!(pause(&admission, 0, 60_000, 0.0), 500, "when calls end");
@@ -173,7 +173,7 @@
     #[case] most: usize,
 ) {
     let warm_up = WarmUp {
-        lasts: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         calls_per_s,
     };
     let mut fleet = cold_shares(routers, ColdRule { excess, extra });
@@ -199,12 +199,12 @@
 fn what_was_learned_before_a_routers_life_holds_until_it_learns_itself() {
     let service = "writer".parse().unwrap();
     let mut admission = Admission::new(hall("yard"));
-    let most = |a: &Admission| a.limit(&service, GOAL).most_calls(16, HOME);
+    let most = |a: &Admission| a.limit(&service, GOAL).max_calls(16, HOME);
     assert_eq!(most(&admission), 16);
-    admission.on_recalled(&service, ms(30));
+    admission.on_restored_slot_time(&service, ms(30));
     assert_eq!(most(&admission), 32, "a place comes free every 2 ms");
-    (0..500).for_each(|_| admission.on_held(&service, ms(300)));
+    (0..500).for_each(|_| admission.on_slot_time(&service, ms(300)));
     assert!((17..20).contains(&most(&admission)));
-    admission.on_recalled(&service, ms(30));
+    admission.on_restored_slot_time(&service, ms(30));
     assert!((17..20).contains(&most(&admission)), "its own goes first");
 }
--- a/tests/decisions/calls.rs
+++ b/tests/decisions/calls.rs
@@ -6,34 +6,34 @@
 use rstest::rstest;
 use scaleford::{
     config::serving::{CallKind, StreamRepeats},
-    retry::{Attempts, Fate, FleetShare, RetryBudget},
+    retry::{Attempts, Execution, FleetShare, RetryBudget},
 };
 
 use crate::{RESUMABLE, at, rules};
 
 #[rstest]
-#[case(CallKind::Unsafe, Fate::NotRun, true)]
-#[case(CallKind::Unsafe, Fate::MayHaveRun, false)]
-#[case(CallKind::Unsafe, Fate::Ran, false)]
-#[case(CallKind::Stream(StreamRepeats::Never), Fate::MayHaveRun, false)]
-#[case(RESUMABLE, Fate::MayHaveRun, true)]
-#[case(CallKind::Safe, Fate::Ran, true)]
+#[case(CallKind::Unsafe, Execution::NotRun, true)]
+#[case(CallKind::Unsafe, Execution::MayHaveRun, false)]
+#[case(CallKind::Unsafe, Execution::Ran, false)]
+#[case(CallKind::Stream(StreamRepeats::Never), Execution::MayHaveRun, false)]
+#[case(RESUMABLE, Execution::MayHaveRun, true)]
+#[case(CallKind::Safe, Execution::Ran, true)]
 fn only_what_may_run_twice_is_sent_again_after_it_may_have_run(
     #[case] kind: CallKind,
-    #[case] fate: Fate,
+    #[case] fate: Execution,
     #[case] again: bool,
 ) {
     let mut attempts = Attempts::default();
     attempts.on_sent();
-    attempts.on_fate(fate);
-    assert_eq!(attempts.may_go_on(kind, 2), again);
-    assert_eq!(attempts.not_run().is_some(), fate == Fate::NotRun);
+    attempts.on_attempt_end(fate);
+    assert_eq!(attempts.may_retry(kind, 2), again);
+    assert_eq!(attempts.not_run().is_some(), fate == Execution::NotRun);
     attempts.on_sent();
-    attempts.on_fate(Fate::NotRun);
-    assert!(!attempts.may_go_on(kind, 2), "two targets at the most");
+    attempts.on_attempt_end(Execution::NotRun);
+    assert!(!attempts.may_retry(kind, 2), "two targets at the most");
     assert_eq!(
         attempts.not_run().is_some(),
-        fate == Fate::NotRun,
+        fate == Execution::NotRun,
         "a later refusal undoes nothing"
     );
 }
--- a/tests/decisions/evacuation.rs
+++ b/tests/decisions/evacuation.rs
@@ -95,7 +95,7 @@
         PlacementError::AllEvacuated
     );
     let left = Duration::from_secs(12);
-    let pause = d.admission.come_back(at(20), &plan.service, left, 0.0);
+    let pause = d.admission.retry_after(at(20), &plan.service, left, 0.0);
     assert!(pause >= Duration::from_secs(3), "{pause:?}");
     let other = scaleford::dispatcher::CallPlan {
         service: "unknown".parse().unwrap(),
--- a/tests/decisions/health.rs
+++ b/tests/decisions/health.rs
@@ -4,7 +4,7 @@
 
 use scaleford::{
     config::serving::CallKind,
-    health::{Health, Outcome, Standing},
+    health::{Health, HealthStatus, Outcome},
     ids::TargetId,
     target_counts::TargetHash,
 };
@@ -18,16 +18,16 @@
     for _ in 0..3 {
         health.on_outcome(at(0), &target, Outcome::Broken);
     }
-    assert_eq!(health.standing(at(100), &target), Standing::Paused);
-    assert_eq!(health.standing(at(500), &target), Standing::OnTrial);
+    assert_eq!(health.status(at(100), &target), HealthStatus::Paused);
+    assert_eq!(health.status(at(500), &target), HealthStatus::OnTrial);
     health.on_send(at(500), &target, false);
     assert_eq!(
-        health.standing(at(501), &target),
-        Standing::Paused,
+        health.status(at(501), &target),
+        HealthStatus::Paused,
         "one at a time"
     );
     health.on_outcome(at(520), &target, Outcome::Good);
-    assert_eq!(health.standing(at(521), &target), Standing::Well);
+    assert_eq!(health.status(at(521), &target), HealthStatus::Well);
 }
 
 #[test]
@@ -41,7 +41,7 @@
             Outcome::Good
         };
         health.on_outcome(at(i * 10), &target, outcome);
-        assert_eq!(health.standing(at(i * 10), &target), Standing::Well);
+        assert_eq!(health.status(at(i * 10), &target), HealthStatus::Well);
     }
 }
 
@@ -54,7 +54,7 @@
     }
     health.on_send(at(500), &target, false);
     health.on_abandon(&target);
-    assert_eq!(health.standing(at(501), &target), Standing::OnTrial);
+    assert_eq!(health.status(at(501), &target), HealthStatus::OnTrial);
 }
 
 /// Incidents of both sites: each router sent several calls to a target that had gone dark before
@@ -70,7 +70,10 @@
         d.on_end(at(301 + n), &ticket, Some(Outcome::Good));
     }
     d.on_end(at(600), &dark, Some(Outcome::Good));
-    assert_eq!(d.health.standing(at(600), &dark.target.id), Standing::Well);
+    assert_eq!(
+        d.health.status(at(600), &dark.target.id),
+        HealthStatus::Well
+    );
 }
 
 #[test]
@@ -80,16 +83,16 @@
     let told = vec![(&suspected).into()];
     d.health
         .on_suspicions(at(0), "vm-1".parse().unwrap(), told.clone());
-    assert_eq!(d.health.standing(at(1), &suspected), Standing::Well);
+    assert_eq!(d.health.status(at(1), &suspected), HealthStatus::Well);
     d.health.on_suspicions(at(0), "vm-2".parse().unwrap(), told);
-    assert_eq!(d.health.standing(at(1), &suspected), Standing::Suspected);
+    assert_eq!(d.health.status(at(1), &suspected), HealthStatus::Suspected);
     for n in 0..10 {
         let call = plan(CallKind::Unsafe, Vec::new(), n);
         let ticket = d.choose(at(2), &call).unwrap();
         assert_ne!(ticket.target.id, suspected);
         d.on_end(at(3), &ticket, Some(Outcome::Good));
     }
-    assert_eq!(d.health.standing(at(5_000), &suspected), Standing::Well);
+    assert_eq!(d.health.status(at(5_000), &suspected), HealthStatus::Well);
 }
 
 /// Grown sapporo, incident bc0b: each of 85 routers lost calls to a target that went down and up,
@@ -102,19 +105,19 @@
     first
         .outages
         .on_broke(at(1_000), hash, Duration::from_millis(4));
-    assert_eq!(first.standing(at(1_000), &target), Standing::Suspected);
+    assert_eq!(first.status(at(1_000), &target), HealthStatus::Suspected);
     hub.outages
         .on_notices(at(1_100), &first.outages.notices(at(1_100)));
     other
         .outages
         .on_notices(at(1_200), &hub.outages.notices(at(1_200)));
-    assert_eq!(other.standing(at(1_200), &target), Standing::Suspected);
+    assert_eq!(other.status(at(1_200), &target), HealthStatus::Suspected);
     // What comes back to where it began makes it last no longer.
     first
         .outages
         .on_notices(at(1_300), &other.outages.notices(at(1_300)));
     for health in [&first, &hub, &other] {
-        assert_eq!(health.standing(at(1_900), &target), Standing::Well);
+        assert_eq!(health.status(at(1_900), &target), HealthStatus::Well);
     }
     assert!(first.outages.notices(at(1_900)).is_empty());
     // The next time it goes down is another outage.
@@ -123,7 +126,7 @@
     other
         .outages
         .on_notices(at(4_100), &hub.outages.notices(at(4_100)));
-    assert_eq!(other.standing(at(4_100), &target), Standing::Suspected);
+    assert_eq!(other.status(at(4_100), &target), HealthStatus::Suspected);
 }
 
 /// Large sapporo, seconds 15 to 17: of 1,300 calls a second 550 met one of 40 targets that were down, as each of
@@ -176,7 +179,7 @@
     health
         .outages
         .on_broke(at(1_000), TargetHash::from(&target), late);
-    assert_eq!(health.standing(at(1_000), &target), Standing::Well);
+    assert_eq!(health.status(at(1_000), &target), HealthStatus::Well);
 }
 
 /// Reports replace one another: a peer that stops to suspect a target, or names it twice, counts as it says last.
@@ -187,10 +190,10 @@
     let hash = |id| TargetHash::from(id);
     let mut report = |vm: &str, ms, targets: Vec<TargetHash>| {
         d.health.on_suspicions(at(ms), vm.parse().unwrap(), targets);
-        let standing = |id| d.health.standing(at(ms), id);
+        let standing = |id| d.health.status(at(ms), id);
         (standing(&first), standing(&second))
     };
-    let (well, suspected) = (Standing::Well, Standing::Suspected);
+    let (well, suspected) = (HealthStatus::Well, HealthStatus::Suspected);
     let both = vec![hash(&first), hash(&second)];
     let twice = vec![hash(&first), hash(&first)];
     assert_eq!(report("vm-1", 0, twice), (well, well));
--- a/tests/decisions/targets.rs
+++ b/tests/decisions/targets.rs
@@ -6,7 +6,7 @@
 use scaleford::{
     config::serving::{CallKind, StreamRepeats},
     discovery::{Discovery, ListChange, RETURN_GRACE, TargetChange, TargetRecord, TargetState},
-    health::{Outcome, Standing},
+    health::{HealthStatus, Outcome},
     ids::{TargetId, UnixMillis},
     units::{Instant, StoreRevision, Tokens},
 };
@@ -203,12 +203,12 @@
     for _ in 0..4 {
         d.on_end(at(20), &ticket, failed);
     }
-    assert_eq!(d.health.standing(at(20), &former), Standing::Paused);
+    assert_eq!(d.health.status(at(20), &former), HealthStatus::Paused);
     let again = ListChange::Put(born(0, 9_000));
     d.discovery
         .on_change(at(30), again, StoreRevision::first_era(2));
     let next = born(0, 9_000).id;
-    assert_eq!(d.health.standing(at(30), &next), Standing::Well);
+    assert_eq!(d.health.status(at(30), &next), HealthStatus::Well);
     // A peer that has not heard of the restart tells of the former life.
     d.cache.on_peer(&former, prompt[0], false);
     assert_eq!(d.cache.missing(&next, &prompt), Tokens(4_100));
--- a/tests/load/cold_targets.rs
+++ b/tests/load/cold_targets.rs
@@ -10,7 +10,7 @@
 
 /// What a cold engine bears, and what is allowed in any second: 1.5 times that and five.
 const WARM_UP: WarmUp = WarmUp {
-    lasts: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     calls_per_s: 8.9,
 };
 const ALLOWED: usize = 18;
--- a/tests/load/model/changes.rs
+++ b/tests/load/model/changes.rs
@@ -52,7 +52,7 @@
     }
 
     fn cold_for(&self) -> Duration {
-        self.load.warm_up.map_or(Duration::ZERO, |w| w.lasts)
+        self.load.warm_up.map_or(Duration::ZERO, |w| w.duration)
     }
 
     fn list(&mut self, targets: Range<usize>, revision: u64) {
--- a/tests/load/model/telling.rs
+++ b/tests/load/model/telling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use scaleford::{
-    admission::{HallRates, account_rates::REPORT_RATES_EVERY},
+    admission::{HallRates, account_rates::RATE_REPORT_INTERVAL},
     dispatcher::Dispatcher,
     membership::datagram::HallSums,
     prompt_cache::PromptPart,
@@ -71,7 +71,7 @@
                 let vm = "hub".parse().unwrap();
                 router
                     .admission
-                    .on_rates(now, &vm, &hall(), rates.near.clone());
+                    .on_rate_reports(now, &vm, &hall(), rates.for_own_hall.clone());
             }
             router.on_tick(now);
         }
@@ -80,14 +80,14 @@
     /// What hubs tell of accounts now, if that is due: what they learned one time before.
     fn rates_through_hubs(&mut self, hub: &mut Dispatcher) -> Option<HallRates> {
         let now = self.now;
-        if now.since(self.rates_told) < REPORT_RATES_EVERY {
+        if now.since(self.rates_told) < RATE_REPORT_INTERVAL {
             return None;
         }
         self.rates_told = now;
         for (n, router) in self.routers.iter().enumerate() {
             let vm = format!("vm-{n}").parse().unwrap();
             let own = vec![router.admission.own_rates(now)];
-            hub.admission.on_rates(now, &vm, &hall(), own);
+            hub.admission.on_rate_reports(now, &vm, &hall(), own);
         }
         let learned = hub.admission.hall_rates(now, &hall());
         self.rates_at_hubs.replace(learned)
