--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -37,7 +37,7 @@
     /// Whether the target has cached the call's prompt, or no other target has cached more of it.
     pub has_cache_affinity: bool,
     /// Whether the call's account sends many times its usual rate.
-    pub surges: bool,
+    pub is_surging: bool,
 }
 
 /// Limit on the calls in progress at a target, relative to its number of slots.
@@ -68,7 +68,7 @@
             true => self.calls_per_slot,
             false => 1.0 - CACHE_AFFINITY_RESERVE,
         };
-        let reserved = if call.surges {
+        let reserved = if call.is_surging {
             NON_SURGING_RESERVE
         } else {
             0.0
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -211,7 +211,7 @@
     ///
     /// The router started `age` ago.
     pub fn retry_after_startup(&self, age: Duration, left: Duration, draw: f64) -> Duration {
-        shortage::retry_after(startup::expected_at(age), left, draw)
+        shortage::retry_after(startup::expected_config_wait(age), left, draw)
     }
 
     fn service_state(&mut self, service: &ServiceName) -> &mut ServiceState {
--- a/src/admission/startup.rs
+++ b/src/admission/startup.rs
@@ -30,6 +30,6 @@
 
 /// Returns the expected time until the first configuration of a router that started `age` ago:
 /// [`CONFIG_EXPECTED_WITHIN`], or if that has passed, as long again as the router has run.
-pub(super) fn expected_at(age: Duration) -> Duration {
+pub(super) fn expected_config_wait(age: Duration) -> Duration {
     age.max(CONFIG_EXPECTED_WITHIN)
 }
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -133,7 +133,7 @@
 
 impl Surge {
     /// Returns whether the account surges.
-    pub fn is_on(self) -> bool {
+    pub fn is_surging(self) -> bool {
         self != Self::None
     }
 }
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -462,7 +462,7 @@
         let read_elsewhere = context.read_elsewhere(missing);
         let traits = CallTraits {
             has_cache_affinity: read_elsewhere < MIN_FETCH_TOKENS,
-            surges: plan.surge.is_on(),
+            is_surging: plan.surge.is_surging(),
         };
         TargetView {
             health_status: self.health.status(now, id),
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -243,7 +243,7 @@
     let ms = |d: Duration| d.as_millis() as u64;
     info!(cx.log, "no room"; "id" => call.id(), "service" => %service,
         "short_for_ms" => room.shortage_age.map(ms), "slot_held_ms" => room.slot_time.map(ms), "backoff_ms" => backoff.map(ms),
-        "account_surges" => call.plan.surge.is_on(), "left_ms" => ms(left), "come_back_ms" => ms(pause));
+        "account_surges" => call.plan.surge.is_surging(), "left_ms" => ms(left), "come_back_ms" => ms(pause));
     pause
 }
 
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -38,7 +38,7 @@
 
 impl Demand {
     /// Returns a grant that renews exactly what the router still holds.
-    fn held(&self) -> Grant {
+    fn renewal(&self) -> Grant {
         Grant {
             rate_milli: self.granted_rate_milli,
             concurrency: self.granted_concurrency,
@@ -226,7 +226,7 @@
         self.granted.retain(|_, (at, _)| fresh(*at));
         self.demands.insert(from.clone(), (now, demand));
         let grant = match fresh(self.since) {
-            true => demand.held(),
+            true => demand.renewal(),
             false => self.fair_grant(&from, limits),
         };
         self.granted.insert(from, (now, grant));
--- a/src/outages.rs
+++ b/src/outages.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether a further failure continues this outage.
-    fn may_go_on(self, now: Instant) -> bool {
+    fn may_continue(self, now: Instant) -> bool {
         self.age(now) < self.avoidance_time() + CONTINUATION_WINDOW
     }
 }
@@ -74,7 +74,7 @@
 /// Outages by target, each with the time when it was last found.
 #[derive(Debug, Default)]
 pub struct Outages {
-    found: HashMap<TargetHash, Outage>,
+    by_target: HashMap<TargetHash, Outage>,
     /// Whether outages were found since [`Outages::take_unannounced`] was last called.
     unannounced: bool,
 }
@@ -85,7 +85,7 @@
     pub fn on_broke(&mut self, now: Instant, target: TargetHash, after: Duration) -> bool {
         let is_out = after <= IMMEDIATE_CLOSE;
         if is_out {
-            self.find(now, target);
+            self.record(now, target);
         }
         is_out
     }
@@ -93,7 +93,7 @@
     /// Records that a target refused a connection, that another target has its address, or that it
     /// asked callers to back off.
     pub fn on_refused(&mut self, now: Instant, target: TargetHash) {
-        self.find(now, target);
+        self.record(now, target);
     }
 
     /// Stores outages that a peer announced, whether found by the peer itself or by others. Returns
@@ -102,20 +102,22 @@
         let mut new = 0;
         for OutageNotice { target, age_ms } in notices {
             let at = now.before(Duration::from_millis(u64::from(*age_ms)));
-            new += usize::from(self.find(at, *target));
+            new += usize::from(self.record(at, *target));
         }
         new
     }
 
     /// Returns whether a target is avoided.
     pub fn is_out(&self, now: Instant, target: TargetHash) -> bool {
-        self.found.get(&target).is_some_and(|o| o.is_active(now))
+        self.by_target
+            .get(&target)
+            .is_some_and(|o| o.is_active(now))
     }
 
     /// Returns the outages to announce to peers.
     pub fn notices(&self, now: Instant) -> Vec<OutageNotice> {
         let on = self
-            .found
+            .by_target
             .iter()
             .filter(|(_, outage)| outage.is_active(now));
         let notice = |(target, outage): (&TargetHash, &Outage)| OutageNotice {
@@ -133,17 +135,17 @@
 
     /// Drops outages that are over.
     pub fn on_tick(&mut self, now: Instant) {
-        self.found.retain(|_, outage| outage.may_go_on(now));
+        self.by_target.retain(|_, outage| outage.may_continue(now));
     }
 
     /// Records an outage that was found at `at`; returns whether it is new.
-    fn find(&mut self, at: Instant, target: TargetHash) -> bool {
-        let repeats = match self.found.get(&target) {
+    fn record(&mut self, at: Instant, target: TargetHash) -> bool {
+        let repeats = match self.by_target.get(&target) {
             Some(known) if at.since(known.at) <= DUPLICATE_WINDOW => return false,
-            Some(known) if known.may_go_on(at) => known.repeats + 1,
+            Some(known) if known.may_continue(at) => known.repeats + 1,
             _ => 0,
         };
-        self.found.insert(target, Outage { at, repeats });
+        self.by_target.insert(target, Outage { at, repeats });
         self.unannounced = true;
         true
     }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -17,7 +17,7 @@
 
 const HOME: CallTraits = CallTraits {
     has_cache_affinity: true,
-    surges: false,
+    is_surging: false,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -55,7 +55,7 @@
     let away = CallTraits::default();
     assert_eq!(limit.max_calls(16, away), 12, "a quarter is kept");
     let surges = CallTraits {
-        surges: true,
+        is_surging: true,
         ..HOME
     };
     assert_eq!(limit.max_calls(16, surges), 14, "some are for others");
@@ -111,7 +111,7 @@
             let account = format!("a{n}").parse().unwrap();
             let calls = (t + 1) * rate / 1_000 - t * rate / 1_000;
             for _ in 0..calls {
-                found[n] += u64::from(admission.on_call(at(t), &account).is_on());
+                found[n] += u64::from(admission.on_call(at(t), &account).is_surging());
             }
         }
     }
