--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -263,7 +263,7 @@
     }
 
     /// Records that a call ended at its target. `outcome` is `None` if the call was abandoned before its
-    /// end. Returns the target's new standing if it changed.
+    /// end. Returns the target's new health status if it changed.
     pub fn on_end(
         &mut self,
         now: Instant,
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,7 +1,7 @@
 //! Preselects the targets that are scored for a call when a service has very many of them.
 //!
 //! This handles calls to services with ten thousand targets. Scoring every target for each call takes a
-//! router that has a tenth of a core about 40 ms, and the time doubles with the number of targets. So only
+//! router that has a tenth of a core about 40 ms, and twice as long with twice as many targets. So only
 //! three groups are scored: targets known to hold most of the prompt; targets that the prompt's key
 //! selects, which are the same on all routers; and targets sampled per call. The sampled ones represent the
 //! rest: the load of a target that holds the prompt is compared with theirs. If none of these has room or
@@ -114,8 +114,8 @@
     }
 }
 
-/// Returns up to [`MAX_HOLDERS`] targets that hold parts of the prompt, holders of the deepest part first. If a
-/// part has more holders than are left to take, the call's hash selects among them.
+/// Returns up to [`MAX_HOLDERS`] targets that hold parts of the prompt, holders of the deepest part first.
+/// If a part has more holders than are left to take, the call's hash selects among them.
 fn holders(
     targets: &[Rc<TargetRecord>],
     plan: &CallPlan,
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -301,7 +301,8 @@
     }
 }
 
-/// Returns the best standing among the targets, or `OnTrial` for calls that may try a suspect target.
+/// Returns the best health status among the targets, or `OnTrial` if the call may try a suspect target and
+/// one is on trial.
 fn best_health_status(available: &[(usize, &TargetView)], repeatable: bool) -> HealthStatus {
     let best = available.iter().map(|o| o.1.health_status).min();
     match best.unwrap_or_default() {
--- a/src/prompt_cache.rs
+++ b/src/prompt_cache.rs
@@ -48,7 +48,7 @@
     tokens: Tokens,
 }
 
-/// A prompt part that is new at a target, with its length.
+/// Id and length of a prompt part, and a target that has read it.
 pub type PartLocation = (PartId, Tokens, TargetId);
 
 /// Prompt parts that all targets are assumed to have cached.
@@ -58,7 +58,7 @@
     /// Targets that have read each part.
     holders: HashMap<PartId, Vec<TargetId>>,
     announcements: VecDeque<PartLocation>,
-    /// Parts announced to peers while this router was young, to be announced once more.
+    /// Parts announced to peers while this router had just started, to be announced once more.
     announced: Vec<PartLocation>,
     unsaved: bool,
     unlisted: HashSet<TargetId>,
@@ -159,7 +159,7 @@
         gone.iter().for_each(|id| self.forget(id));
     }
 
-    /// Marks known parts as unsaved after the store was set back, which may have lost saved parts.
+    /// Marks known parts as unsaved after the store was reverted, which may have lost saved parts.
     pub fn on_store_reverted(&mut self) {
         self.unsaved |= !self.holders.is_empty();
     }
@@ -169,8 +169,8 @@
         std::mem::take(&mut self.unsaved)
     }
 
-    /// Takes up to `limit` new parts from the queue, to announce them to peers. A router that is `young`
-    /// remembers them for [`Self::announce_again`].
+    /// Takes up to `limit` new parts from the queue, to announce them to peers. If `young`, the router has
+    /// just started, and remembers them for [`Self::announce_again`].
     pub fn take_announcements(&mut self, limit: usize, young: bool) -> Vec<PartLocation> {
         let n = self.announcements.len().min(limit);
         let announcements: Vec<PartLocation> = self.announcements.drain(..n).collect();
