--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -257,8 +257,8 @@
     /// the most crashes.
     pub fn crash_notices(&self, now: Instant) -> Vec<CrashNotice> {
         let mut ranked: Vec<(usize, CrashNotice)> = Vec::new();
-        for (fingerprint, endings) in &self.suspects {
-            let recent = endings
+        for (fingerprint, crashes) in &self.suspects {
+            let recent = crashes
                 .iter()
                 .filter(|e| now.since(e.at) < ANNOUNCE_DURATION)
                 .map(|e| CrashNotice {
@@ -266,9 +266,9 @@
                     target: e.target,
                     age_ms: now.since(e.at).as_millis() as u16,
                 });
-            ranked.extend(recent.map(|notice| (endings.len(), notice)));
+            ranked.extend(recent.map(|notice| (crashes.len(), notice)));
         }
-        ranked.sort_unstable_by_key(|(endings, n)| (usize::MAX - endings, n.age_ms));
+        ranked.sort_unstable_by_key(|(crashes, n)| (usize::MAX - crashes, n.age_ms));
         ranked.truncate(MAX_CRASH_NOTICES);
         ranked.into_iter().map(|(_, notice)| notice).collect()
     }
@@ -318,9 +318,9 @@
     /// Removes crashes and quarantines whose time is over; returns the requests that are accepted
     /// again.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Fingerprint> {
-        self.suspects.retain(|_, endings| {
-            endings.retain(|e| now.since(e.at) < QUARANTINE_DURATION);
-            !endings.is_empty()
+        self.suspects.retain(|_, crashes| {
+            crashes.retain(|e| now.since(e.at) < QUARANTINE_DURATION);
+            !crashes.is_empty()
         });
         let expired = self.quarantined.extract_if(|_, entry| now >= entry.until);
         expired.map(|(request, _)| request).collect()
@@ -339,17 +339,17 @@
             return None;
         }
         self.make_room(request);
-        let endings = self.suspects.entry(request).or_default();
+        let crashes = self.suspects.entry(request).or_default();
         let is_same_crash = |e: &Crash| {
             let interval = e.at.since(at).max(at.since(e.at));
             e.target == target && interval < SAME_CRASH_INTERVAL
         };
-        if endings.iter().any(is_same_crash) {
+        if crashes.iter().any(is_same_crash) {
             return None;
         }
-        endings.push(Crash { target, at });
+        crashes.push(Crash { target, at });
         self.unannounced = true;
-        if endings.len() < CRASHES_TO_QUARANTINE {
+        if crashes.len() < CRASHES_TO_QUARANTINE {
             return None;
         }
         self.quarantine_until(now + QUARANTINE_DURATION, request);
@@ -382,9 +382,9 @@
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
         }
-        let last = |endings: &Vec<Crash>| endings.last().map_or(Instant::default(), |e| e.at);
+        let last = |crashes: &Vec<Crash>| crashes.last().map_or(Instant::default(), |e| e.at);
         let weakest = self.suspects.iter();
-        let weakest = weakest.min_by_key(|(_, endings)| (endings.len(), last(endings)));
+        let weakest = weakest.min_by_key(|(_, crashes)| (crashes.len(), last(crashes)));
         let weakest = weakest.map(|(request, _)| *request);
         weakest.and_then(|request| self.suspects.remove(&request));
     }
