--- a/src/claims.rs
+++ b/src/claims.rs
@@ -207,8 +207,8 @@
 
     /// Restores the records that were lost when the store was reverted to an older copy. `before`
     /// is this shard as it was known until then. Its records count as lost if they are at most
-    /// [`MAX_COPY_AGE_S`] old, and this shard has no record of their key, or only the claim of the same
-    /// request.
+    /// [`MAX_COPY_AGE_S`] old, and this shard has no record of their key, or only the claim of the
+    /// same request.
     pub fn recover(&mut self, before: &Self, now_s: u64) {
         let is_lost = |(key, known): &(&ClaimKey, &KeyState)| match self.key_states.get(*key) {
             _ if known.at_s + MAX_COPY_AGE_S < now_s => false,
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -39,12 +39,12 @@
 /// Number of targets of a service below which all of them are saved for routers that start.
 const SMALL_SERVICE_TARGETS: usize = 512;
 
-/// Number of removals that are remembered in addition to a fraction of the targets, so that older
-/// changes of the same entries are ignored. It is several times the number of targets that leave
+/// Number of removals that are remembered in addition to a quarter of the targets, so that older
+/// changes of the removed entries are ignored. It is several times the number of targets that leave
 /// within the seconds that a change may take to arrive.
 const MIN_REMOVALS_KEPT: usize = 1024;
 
-/// Divisor of the number of targets that gives this fraction: a quarter may leave within these
+/// Divisor of the number of targets that gives this quarter: so many may leave within these
 /// seconds.
 const REMOVALS_KEPT_DIVISOR: usize = 4;
 
@@ -69,8 +69,7 @@
     pools: Pools,
     /// Earliest time at which an entry that went missing ceases to count.
     missing_until: Option<Instant>,
-    /// Targets that are cold according to their entries, each with the time at which it becomes
-    /// warm.
+    /// Targets that are cold according to their entries, each with the time until which it is cold.
     cold: HashMap<TargetId, Instant>,
     evacuations: Evacuations,
     /// End of the grace period after the store's return, in which removed entries still count.
--- a/src/withdrawals.rs
+++ b/src/withdrawals.rs
@@ -124,7 +124,7 @@
         self.until.is_none_or(|until| now < until)
     }
 
-    /// Merges a withdrawal with the one before: it began with the first, and the later end counts.
+    /// Merges a withdrawal with the one before: the earlier start and the later end apply.
     fn merged_with(self, before: Option<Self>) -> Self {
         before.map_or(self, |before| Self {
             at: before.at,
