--- a/src/config/freshness.rs
+++ b/src/config/freshness.rs
@@ -98,11 +98,11 @@
     ///
     /// It also confirms a later configuration applied here, which includes everything in the peer's, but
     /// not an earlier one.
-    pub fn on_peer_confirmation(&mut self, vouch: PeerConfirmation) {
-        let proof = ConfirmedAt::before(vouch.echo, vouch.age);
-        self.latest_peer_version = self.latest_peer_version.max(vouch.version);
-        if vouch.version <= self.version {
-            self.confirmed_at = self.confirmed_at.max(Some(proof));
+    pub fn on_peer_confirmation(&mut self, confirmation: PeerConfirmation) {
+        let confirmed_at = ConfirmedAt::before(confirmation.echo, confirmation.age);
+        self.latest_peer_version = self.latest_peer_version.max(confirmation.version);
+        if confirmation.version <= self.version {
+            self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
         }
     }
 
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -115,7 +115,7 @@
 
 fn add_model(serving: &mut ServingConfig, name: &ModelName, model: &Model, rules: &CallerRules) {
     let pool = Serves::Model(name.clone()).pool();
-    let usual_answer = match model.usual_answer_tokens {
+    let expected_response = match model.usual_answer_tokens {
         0 => DEFAULT_RESPONSE,
         n => Tokens(n.into()),
     };
@@ -126,7 +126,7 @@
             slots: DEFAULT_SLOTS,
             memory_tokens: DEFAULT_MEMORY_TOKENS,
             can_fetch_prompts: false,
-            expected_response: Some(usual_answer),
+            expected_response: Some(expected_response),
         }),
     };
     serving.add_service(pool.clone(), spec);
@@ -164,7 +164,7 @@
     serving.add_service(pool.clone(), spec);
     let hidden_prefix = format!("{SERVICE_PREFIX}{name}");
     let timeout = Duration::from_millis(service.timeout_ms);
-    let usual = Route {
+    let default_route = Route {
         name: pool.to_string(),
         path_prefix: format!("{hidden_prefix}/"),
         stripped_prefix: hidden_prefix.clone(),
@@ -184,8 +184,8 @@
             kind: CallKind::Unsafe,
             claimed: true,
             rank: Rank(0),
-            ..usual.clone()
+            ..default_route.clone()
         });
     }
-    serving.add_route(usual);
+    serving.add_route(default_route);
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -33,14 +33,14 @@
         let Self {
             setting, expected, ..
         } = self;
-        let seen = match &self.given {
+        let given = match &self.given {
             Some(v) => v.as_str(),
             None => "nothing",
         };
         let code = ResultCode::BadSettings;
         write!(
             f,
-            "error {code}: {setting}: got {seen}, expected {expected}"
+            "error {code}: {setting}: got {given}, expected {expected}"
         )
     }
 }
@@ -227,8 +227,8 @@
             })
             .collect();
         if self.header_limit.0 < 8192 {
-            let seen = Some(self.header_limit.to_string());
-            faults.push(invalid_setting("header_limit", seen, "8192 bytes or more"));
+            let given = Some(self.header_limit.to_string());
+            faults.push(invalid_setting("header_limit", given, "8192 bytes or more"));
         }
         match faults.is_empty() {
             true => Ok(self),
@@ -237,10 +237,10 @@
     }
 }
 
-fn invalid_setting(name: &str, seen: Option<String>, expected: &str) -> InvalidSetting {
+fn invalid_setting(name: &str, given: Option<String>, expected: &str) -> InvalidSetting {
     InvalidSetting {
         setting: format!("{} ({})", flag_name(name), variable_name(name)),
-        given: seen.map(|s| format!("{s:?}")),
+        given: given.map(|s| format!("{s:?}")),
         expected: expected.to_owned(),
     }
 }
--- a/src/units.rs
+++ b/src/units.rs
@@ -118,12 +118,12 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<Self, IdError> {
-        let fault = || IdError {
+        let invalid = || IdError {
             expected: "a store revision as ERA.NUMBER",
             got: s.to_owned(),
         };
-        let (era, number) = s.split_once('.').ok_or_else(fault)?;
-        let number = number.parse().map_err(|_| fault())?;
+        let (era, number) = s.split_once('.').ok_or_else(invalid)?;
+        let number = number.parse().map_err(|_| invalid())?;
         Ok(Self::new(era.parse()?, number))
     }
 }
@@ -238,7 +238,7 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<Self, IdError> {
-        let fault = || IdError {
+        let invalid = || IdError {
             expected: "a number of bytes, optionally with the suffix k or m",
             got: s.to_owned(),
         };
@@ -247,8 +247,8 @@
             Some(b'm') => (&s[..s.len() - 1], 1 << 20),
             _ => (s, 1),
         };
-        let n: usize = digits.parse().map_err(|_| fault())?;
-        n.checked_mul(unit).map(Self).ok_or_else(fault)
+        let n: usize = digits.parse().map_err(|_| invalid())?;
+        n.checked_mul(unit).map(Self).ok_or_else(invalid)
     }
 }
 
