--- a/src/clock.rs
+++ b/src/clock.rs
@@ -12,7 +12,8 @@
 
 use crate::units::Instant;
 
-/// Returns the total time that the VM was suspended since it booted; it never decreases.
+/// Returns the total time that the VM was suspended since it booted, which only grows apart from small
+/// variations between readings.
 pub type Suspended = Box<dyn Fn() -> Duration>;
 
 /// Minimum suspension that wakes sleeping tasks. Timers can be late by as much without a suspension.
--- a/src/config/freshness.rs
+++ b/src/config/freshness.rs
@@ -57,7 +57,7 @@
     version: ConfigVersion,
     /// Latest version that any peer has reported to apply.
     latest_peer_version: ConfigVersion,
-    /// End of the period after a store rollback in which the store may lack a configuration that this
+    /// End of the period after the store was reverted in which it may lack a configuration that this
     /// router has not seen either.
     revert_grace_until: Option<Instant>,
 }
@@ -71,13 +71,13 @@
         self.version = self.version.max(version);
     }
 
-    /// Records that the store was rolled back to an older copy; the lost writes are expected to be
+    /// Records that the store was reverted to an older copy; the lost writes are expected to be
     /// restored by `settled_at`.
     pub fn on_store_reverted(&mut self, settled_at: Instant) {
         self.revert_grace_until = Some(settled_at);
     }
 
-    /// Records that the operators have written their configuration since the store was rolled back.
+    /// Records that the operators have written their configuration since the store was reverted.
     pub fn on_config_rewritten(&mut self) {
         self.revert_grace_until = None;
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,7 +3,7 @@
 //! Change `n` is stored in the platform's key-value service under its own key, which is created by
 //! compare-and-swap on "absent": of two concurrent operators exactly one gets number `n`. Each change
 //! contains the digest of the history before it, so a router can distinguish a change that follows its
-//! own history from one of a store that was rolled back to an older state.
+//! own history from one of a store that was reverted to an older state.
 
 pub mod freshness;
 mod log;
--- a/src/config/serving.rs
+++ b/src/config/serving.rs
@@ -60,7 +60,7 @@
 pub struct Route {
     /// Name for logs.
     pub name: String,
-    /// Host in lower case; empty for any.
+    /// Host in lower case. An empty one matches only requests whose routing key has no host.
     pub host: String,
     /// Prefix of the path.
     pub path_prefix: String,
@@ -94,7 +94,7 @@
 /// The parts of a request that routes match.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingKey {
-    /// Host, including the port if one was sent.
+    /// Host, including the port if one was sent; empty if hosts are not used for routing.
     pub host: String,
     /// HTTP method.
     pub method: Method,
@@ -226,7 +226,7 @@
     }
 
     /// Returns whether this configuration replaces `other`. The operators' version is compared first,
-    /// because the store's revisions decrease when the store is rolled back.
+    /// because the store's revisions decrease when the store is reverted.
     pub fn is_newer_than(&self, other: &Self) -> bool {
         let order = |c: &Self| (c.version, c.revision);
         order(self) > order(other)
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -113,10 +113,11 @@
     ChangeId
 );
 
-/// One start of a target: its name and, if the target reports it, its start time.
+/// One instance of a target, which is one run between two starts: its name and, if the target reports it,
+/// its start time.
 ///
 /// A target that restarts under the same name loses all its state, so nothing known about the previous
-/// start applies to the new one. The text form is the name alone, or `NAME~START` with the start time in
+/// instance applies to the new one. The text form is the name alone, or `NAME~START` with the start time in
 /// milliseconds since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -126,7 +127,7 @@
 const START_SEPARATOR: char = '~';
 
 impl TargetId {
-    /// Creates the id of a target that started at `started_at`; `None` if the target does not report it.
+    /// Creates the id of the instance that started at `started_at`; `None` if the target does not report it.
     pub fn new(name: &TargetName, started_at: Option<UnixMillis>) -> Self {
         match started_at {
             Some(started_at) => Self(format!("{name}{START_SEPARATOR}{started_at}").into()),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -104,7 +104,7 @@
     peers: List<SocketAddr> = Some(""), false, "IP:PORT, separated by commas";
     /// Tokens by which operators authenticate, each with the operator's name.
     operator_tokens: List<OperatorToken> = None, true, "NAME:TOKEN, separated by commas, TOKEN of 8 characters or more";
-    /// Maximum time until every router refuses a revoked key, also while the store is unreachable.
+    /// Maximum time until every router refuses a revoked key, also while the store is unavailable.
     revoke_bound: RevokeBound = Some("none"), false, "none, or milliseconds from 1000";
     /// Maximum load of a target, as a multiple of its pool's mean.
     load_bound: LoadBound = Some("2"), false, "a factor from 1.01 to 10";
@@ -116,7 +116,7 @@
     header_timeout_ms: Millis = Some("10000"), false, "milliseconds";
     /// Maximum time to receive a request body.
     body_timeout_ms: Millis = Some("30000"), false, "milliseconds";
-    /// Maximum pause of a target within a response.
+    /// Maximum pause of a target within a response, and maximum idle time of a caller's connection.
     idle_timeout_ms: Millis = Some("60000"), false, "milliseconds";
     /// Maximum duration of a chat request.
     request_timeout_ms: Millis = Some("300000"), false, "milliseconds";
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -83,7 +83,7 @@
         self.revision = news.revision;
     }
 
-    /// Removes everything, after the store was rolled back to an older state.
+    /// Removes everything, after the store was reverted to an older state.
     pub fn clear(&mut self) {
         *self = Self {
             peak_items: self.peak_items,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -28,8 +28,8 @@
     /// The revision after which changes were requested is no longer in the store's history.
     #[error("the requested revision is no longer in the store's history")]
     HistoryGone,
-    /// The store was rolled back to an older copy between the read that the call builds on and the response.
-    #[error("the store was rolled back during the call")]
+    /// The store was reverted to an older copy between the read that the call builds on and the response.
+    #[error("the store was reverted during the call")]
     Reverted,
     /// The response could not be decoded.
     #[error("invalid response: {0}")]
@@ -60,7 +60,7 @@
     Packed(Vec<u8>),
 }
 
-/// Minimum size of a compressed value, in bytes.
+/// Minimum size of a value that is compressed, in bytes.
 const MIN_BYTES_TO_COMPRESS: usize = 512;
 
 /// Compression level from 0 to 10. Level 4 reduces a value to a tenth of its size within a few milliseconds.
--- a/src/units.rs
+++ b/src/units.rs
@@ -102,7 +102,7 @@
         Self { era, number }
     }
 
-    /// Creates a revision of a store that was never restored from an older copy.
+    /// Creates a revision of a store that was never reverted to an older copy.
     pub const fn first_era(number: u64) -> Self {
         Self::new(StoreEra(0), number)
     }
@@ -134,7 +134,7 @@
 );
 
 number_id!(
-    /// Era of the platform's store, which increases by one each time the store is restored from an older
+    /// Era of the platform's store, which increases by one each time the store is reverted to an older
     /// copy; 0 if the store does not report it.
     StoreEra
 );
