--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -107,7 +107,7 @@
         let me = (*hall == self.hall).then_some((&self.me, self.capacity));
         let here: Vec<_> = others.chain(me).collect();
         let wanted = here.len().div_ceil(ROUTERS_PER_FEEDER);
-        let strongest = here.iter().map(|(_, strength)| *strength).max();
+        let strongest = here.iter().map(|(_, capacity)| *capacity).max();
         let minimum = strongest.unwrap_or_default().halved();
         let (strong, weak): (Vec<_>, Vec<_>) = here.into_iter().partition(|r| r.1 >= minimum);
         let select = |routers: Vec<(_, _)>, n| {
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -104,17 +104,17 @@
         };
         self.digests.insert(self.hall.clone(), own);
         let fresh = self.digests.iter().filter(|(_, r)| self.is_fresh(now, r));
-        let roll = |(hall, roll): (&DataHall, &KnownDigest)| MemberDigest {
+        let to_member_digest = |(hall, known): (&DataHall, &KnownDigest)| MemberDigest {
             hall: hall.clone(),
             age_ms: now
-                .since(roll.at)
+                .since(known.at)
                 .as_millis()
                 .try_into()
                 .unwrap_or(u16::MAX),
-            digest: roll.digest,
-            calls: roll.calls,
+            digest: known.digest,
+            calls: known.calls,
         };
-        let near: Vec<MemberDigest> = fresh.map(roll).collect();
+        let near: Vec<MemberDigest> = fresh.map(to_member_digest).collect();
         let far = near.iter().filter(|r| r.hall == self.hall);
         HubDigests {
             for_other_halls: far.cloned().collect(),
@@ -123,15 +123,20 @@
     }
 
     /// Applies rolls from a hub, of its own data hall or of others.
-    pub(super) fn on_member_digests(&mut self, now: Instant, from: &VmId, rolls: &[MemberDigest]) {
-        for received in rolls {
+    pub(super) fn on_member_digests(
+        &mut self,
+        now: Instant,
+        from: &VmId,
+        digests: &[MemberDigest],
+    ) {
+        for received in digests {
             let at = now.before(Duration::from_millis(u64::from(received.age_ms)));
             if self.digests.get(&received.hall).is_some_and(|r| r.at >= at) {
                 continue;
             }
             let (digest, calls) = (received.digest, received.calls);
-            let roll = KnownDigest { at, digest, calls };
-            self.digests.insert(received.hall.clone(), roll);
+            let known = KnownDigest { at, digest, calls };
+            self.digests.insert(received.hall.clone(), known);
             match self.hall_digest(&received.hall) == received.digest {
                 true => self.confirm_alive(&received.hall, at),
                 false => {
@@ -154,28 +159,30 @@
     fn hall_digest(&self, hall: &DataHall) -> u64 {
         let is_here = |vm: &VmId| self.by_vm.get(vm).map_or(&self.hall, |p| &p.hall) == hall;
         let here = self.digest_members().filter(|(vm, _)| is_here(vm));
-        here.fold(0, |all, (vm, life)| all ^ incarnation_hash(vm, life))
+        here.fold(0, |all, (vm, incarnation)| {
+            all ^ incarnation_hash(vm, incarnation)
+        })
     }
 
-    fn is_fresh(&self, now: Instant, roll: &KnownDigest) -> bool {
-        now.since(roll.at) < self.unconfirmed_timeout()
+    fn is_fresh(&self, now: Instant, known: &KnownDigest) -> bool {
+        now.since(known.at) < self.unconfirmed_timeout()
     }
 
     /// Returns the number of calls that other routers accepted in the last seconds.
     pub(super) fn others_calls(&self, now: Instant, own_calls: u32) -> u32 {
-        let has_fresh_roll = |hall: &DataHall| {
+        let has_fresh_digest = |hall: &DataHall| {
             self.digests
                 .get(hall)
                 .is_some_and(|r| self.is_fresh(now, r))
         };
         let reported = self.digests.values().filter(|r| self.is_fresh(now, r));
         let reported: u32 = reported.map(|r| r.calls).sum();
-        let own_reported = if has_fresh_roll(&self.hall) {
+        let own_reported = if has_fresh_digest(&self.hall) {
             own_calls
         } else {
             0
         };
-        let unreported = self.live_peers(now).filter(|p| !has_fresh_roll(&p.hall));
+        let unreported = self.live_peers(now).filter(|p| !has_fresh_digest(&p.hall));
         reported.saturating_sub(own_reported) + unreported.map(|p| p.calls).sum::<u32>()
     }
 
@@ -186,21 +193,21 @@
             return;
         }
         let since = *self.monitoring_since.get_or_insert(now);
-        let silent_after = timing::failure_timeout(self.fleet_size());
-        let watched: Vec<VmId> = {
-            let mut watched = self.monitored(now);
-            watched.retain(|vm| {
+        let timeout = timing::failure_timeout(self.fleet_size());
+        let monitored: Vec<VmId> = {
+            let mut monitored = self.monitored(now);
+            monitored.retain(|vm| {
                 self.by_vm.get(vm).is_some_and(|p| {
-                    let heard = p
+                    let last_heartbeat = p
                         .last_datagram_at
                         .max(since)
                         .max(p.monitored_since.unwrap_or(now));
-                    now.since(heard) >= silent_after.mul_f64(self.silence_factor(now, p))
+                    now.since(last_heartbeat) >= timeout.mul_f64(self.silence_factor(now, p))
                 })
             });
-            watched
+            monitored
         };
-        for vm in watched {
+        for vm in monitored {
             if let Some(peer) = self.by_vm.get_mut(&vm) {
                 peer.down_since = Some(now);
             }
@@ -221,9 +228,9 @@
 
     /// Records since when this router monitors each other one.
     fn update_monitored(&mut self, now: Instant) {
-        let watched = self.monitored(now);
+        let monitored = self.monitored(now);
         for (vm, peer) in &mut self.by_vm {
-            peer.monitored_since = match watched.binary_search(vm) {
+            peer.monitored_since = match monitored.binary_search(vm) {
                 Ok(_) => peer.monitored_since.or(Some(now)),
                 Err(_) => None,
             };
@@ -238,7 +245,7 @@
     /// silent.
     fn monitored(&self, now: Instant) -> Vec<VmId> {
         let own_hubs = self.hubs_of(now, &self.hall);
-        let mut watched: Vec<VmId> = match own_hubs.contains(&self.me) {
+        let mut monitored: Vec<VmId> = match own_hubs.contains(&self.me) {
             true => {
                 let near = self.by_vm.iter().filter(|(_, p)| p.hall == self.hall);
                 near.map(|(vm, _)| vm.clone()).collect()
@@ -252,15 +259,15 @@
             }
         };
         if self.is_aggregator(now) {
-            watched.extend(self.remote_first_hubs(now));
+            monitored.extend(self.remote_first_hubs(now));
         }
         // Includes routers that only this one takes for dead: its roll covers all that no hub
         // reported as down.
         let is_counted = |vm: &VmId| self.by_vm.get(vm).is_some_and(|p| p.down_since.is_none());
-        watched.retain(is_counted);
-        watched.sort_unstable();
-        watched.dedup();
-        watched
+        monitored.retain(is_counted);
+        monitored.sort_unstable();
+        monitored.dedup();
+        monitored
     }
 
     /// Restarts the silence limits of all routers that were alive if this router stalled between
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -81,9 +81,9 @@
     }
 
     pub(super) fn is_hub_silent(&self, now: Instant, hub: &VmId) -> bool {
-        let silent_after = timing::hub_timeout(self.fleet_size());
+        let timeout = timing::hub_timeout(self.fleet_size());
         let peer = self.by_vm.get(hub);
-        peer.is_none_or(|p| now.since(p.last_datagram_at) >= silent_after)
+        peer.is_none_or(|p| now.since(p.last_datagram_at) >= timeout)
     }
 
     /// Returns the `n` routers that keep `thing` together, selected among those of higher capacity.
@@ -96,10 +96,11 @@
         n: usize,
     ) -> Vec<&'a VmId> {
         let mut all: Vec<(&VmId, CapacityClass)> = routers.collect();
-        let mut strengths: Vec<CapacityClass> = all.iter().map(|(_, strength)| *strength).collect();
-        strengths.sort_unstable_by(|a, b| b.cmp(a));
-        let strongest = strengths.first().copied().unwrap_or_default();
-        let nth = strengths.get(n.saturating_sub(1)).copied();
+        let mut capacities: Vec<CapacityClass> =
+            all.iter().map(|(_, capacity)| *capacity).collect();
+        capacities.sort_unstable_by(|a, b| b.cmp(a));
+        let strongest = capacities.first().copied().unwrap_or_default();
+        let nth = capacities.get(n.saturating_sub(1)).copied();
         let minimum = strongest.halved().min(nth.unwrap_or_default());
         all.retain(|(_, strength)| *strength >= minimum);
         owners(key, all.into_iter().map(|(vm, _)| vm), n)
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -70,8 +70,8 @@
         datagram: &Datagram,
         before: Option<&Self>,
     ) -> Self {
-        let same_life = before.filter(|p| p.incarnation() == datagram.sent.incarnation);
-        let former_life = match same_life {
+        let same_incarnation = before.filter(|p| p.incarnation() == datagram.sent.incarnation);
+        let former_incarnation = match same_incarnation {
             Some(p) => p.former_incarnation,
             None => before.map(Self::incarnation),
         };
@@ -83,14 +83,14 @@
             last_datagram_at: now,
             last_reported_heartbeat: None,
             down_since: datagram.stopping.then(|| {
-                let since = same_life.and_then(|p| p.down_since);
+                let since = same_incarnation.and_then(|p| p.down_since);
                 since.unwrap_or(now)
             }),
-            changed_at: same_life.map_or(now, |p| p.changed_at),
-            monitored_since: same_life.and_then(|p| p.monitored_since),
+            changed_at: same_incarnation.map_or(now, |p| p.changed_at),
+            monitored_since: same_incarnation.and_then(|p| p.monitored_since),
             unreachable_at: None,
             stamp: datagram.sent,
-            former_incarnation: former_life,
+            former_incarnation,
             number: datagram.number,
             calls: datagram.calls,
             stopping: datagram.stopping,
@@ -104,17 +104,17 @@
     pub(super) fn from_record(
         record: &MemberRecord,
         now: Instant,
-        heard: Instant,
-        gone_at: Option<Instant>,
+        heartbeat: Instant,
+        down_since: Option<Instant>,
     ) -> Self {
         Self {
             address: record.address,
             hall: record.hall.clone(),
             capacity: record.capacity,
             hash: VmHash::from(&record.vm),
-            last_datagram_at: heard,
+            last_datagram_at: heartbeat,
             last_reported_heartbeat: None,
-            down_since: gone_at,
+            down_since,
             changed_at: now,
             monitored_since: None,
             unreachable_at: None,
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -80,16 +80,16 @@
     pub fn new(
         me: VmId,
         hall: DataHall,
-        strength: CapacityClass,
-        life: Incarnation,
+        capacity: CapacityClass,
+        incarnation: Incarnation,
         own_address: SocketAddr,
         seeds: &[SocketAddr],
     ) -> Self {
         let mut peers = Self {
             me,
             hall,
-            capacity: strength,
-            incarnation: life,
+            capacity,
+            incarnation,
             own_address,
             by_vm: BTreeMap::new(),
             unconfirmed_addresses: BTreeMap::new(),
@@ -127,7 +127,7 @@
         }
         let before = self.by_vm.get(&datagram.vm);
         let was_alive = before.is_some_and(|p| p.is_alive(now, self.silence_limits()));
-        let heard = match before {
+        let effect = match before {
             Some(p)
                 if p.incarnation() == datagram.sent.incarnation && p.number >= datagram.number =>
             {
@@ -146,7 +146,7 @@
             _ => DatagramEffect::Joined,
         };
         let peer = Peer::from_datagram(now, from, datagram, before);
-        let is_change = was_alive == datagram.stopping || heard == DatagramEffect::Joined;
+        let is_change = was_alive == datagram.stopping || effect == DatagramEffect::Joined;
         self.by_vm.insert(datagram.vm.clone(), peer);
         if is_change {
             self.on_change(now, &datagram.vm);
@@ -154,7 +154,7 @@
         self.on_store_readers(now, &datagram.reader_ages);
         self.on_member_digests(now, &datagram.vm, &datagram.member_digests);
         self.unconfirmed_addresses.remove(&from);
-        heard
+        effect
     }
 
     /// Marks a router that did not answer a call as down until it sends a datagram or others report
@@ -182,12 +182,12 @@
 
     /// Returns all known peers and all addresses where one may be.
     pub fn all_receivers(&self) -> Vec<Receiver> {
-        let heard = self.by_vm.iter().map(Receiver::of);
-        let unheard = self
+        let known = self.by_vm.iter().map(Receiver::of);
+        let unconfirmed = self
             .unconfirmed_addresses
             .keys()
             .map(|address| Receiver::at(*address));
-        heard.chain(unheard).collect()
+        known.chain(unconfirmed).collect()
     }
 
     /// Detects failures, and removes peers and addresses that have been silent for too long.
@@ -211,13 +211,16 @@
     pub fn take_sync_duty(&mut self, now: Instant, joined: &VmId) -> bool {
         self.synced
             .retain(|_, (_, at)| now.since(*at) < MIN_SYNC_INTERVAL);
-        let Some(life) = self.by_vm.get(joined).map(Peer::incarnation) else {
+        let Some(incarnation) = self.by_vm.get(joined).map(Peer::incarnation) else {
             return false;
         };
-        let was_sent = self.synced.get(joined).is_some_and(|(l, _)| *l == life);
+        let was_sent = self
+            .synced
+            .get(joined)
+            .is_some_and(|(l, _)| *l == incarnation);
         let is_due = !was_sent && self.is_sync_sender_for(now, joined);
         if is_due {
-            self.synced.insert(joined.clone(), (life, now));
+            self.synced.insert(joined.clone(), (incarnation, now));
         }
         is_due
     }
@@ -235,13 +238,13 @@
 
     /// Returns all other known routers, each with its data hall and state.
     pub fn members(&self, now: Instant) -> Vec<Member> {
-        let silence = self.silence_limits();
+        let limits = self.silence_limits();
         let member = |(vm, p): (&VmId, &Peer)| Member {
             vm: vm.clone(),
             data_hall: p.hall.clone(),
             state: match () {
                 () if p.stopping => MemberState::Stopping,
-                () if p.is_alive(now, silence) => MemberState::Alive,
+                () if p.is_alive(now, limits) => MemberState::Alive,
                 () => MemberState::Dead,
             },
             silent_ms: now.since(p.last_heartbeat()).as_millis() as u64,
@@ -261,8 +264,8 @@
 
     /// Returns the names of all live routers, this one included.
     pub(super) fn live_names(&self, now: Instant) -> impl Iterator<Item = &VmId> {
-        let living = self.live_members(now).map(|(vm, _)| vm);
-        living.chain(std::iter::once(&self.me))
+        let live = self.live_members(now).map(|(vm, _)| vm);
+        live.chain(std::iter::once(&self.me))
     }
 
     /// Returns the short hashes of all live routers, this one first.
@@ -294,13 +297,13 @@
     /// Returns the limits on the silence of a router. In a small fleet every router receives
     /// heartbeats from every other.
     fn silence_limits(&self) -> SilenceLimits {
-        let counts_for = match self.by_vm.len() + 1 < MIN_LARGE_FLEET {
+        let unreported_timeout = match self.by_vm.len() + 1 < MIN_LARGE_FLEET {
             true => SMALL_FLEET_TIMEOUT,
             false => SMALL_FLEET_TIMEOUT.max(self.unconfirmed_timeout()),
         };
         SilenceLimits {
             failure_timeout: timing::failure_timeout(self.fleet_size()),
-            unreported_timeout: counts_for,
+            unreported_timeout,
         }
     }
 
@@ -313,8 +316,8 @@
     }
 
     pub(super) fn live_members(&self, now: Instant) -> impl Iterator<Item = (&VmId, &Peer)> {
-        let silence = self.silence_limits();
+        let limits = self.silence_limits();
         let all = self.by_vm.iter();
-        all.filter(move |(_, p)| p.is_alive(now, silence))
+        all.filter(move |(_, p)| p.is_alive(now, limits))
     }
 }
--- a/src/membership/readers.rs
+++ b/src/membership/readers.rs
@@ -199,8 +199,8 @@
             return Vec::new();
         }
         let age = |p: &Peer| {
-            let heard = p.store_answered_at.unwrap_or_default();
-            now.since(heard).as_millis() as u32
+            let answered_at = p.store_answered_at.unwrap_or_default();
+            now.since(answered_at).as_millis() as u32
         };
         let acting = self.acting_readers(now, None).into_iter();
         let ages = acting.filter_map(|vm| self.by_vm.get(vm).map(|p| (vm.clone(), age(p))));
@@ -225,9 +225,9 @@
     pub(super) fn on_store_readers(&mut self, now: Instant, ages: &[(VmId, u32)]) {
         for (reader, age_ms) in ages {
             let age = Duration::from_millis(u64::from(*age_ms));
-            let heard = Instant(now.0.saturating_sub(age));
+            let answered_at = Instant(now.0.saturating_sub(age));
             if let Some(peer) = self.by_vm.get_mut(reader) {
-                peer.store_answered_at = peer.store_answered_at.max(Some(heard));
+                peer.store_answered_at = peer.store_answered_at.max(Some(answered_at));
             }
         }
     }
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -176,8 +176,8 @@
 }
 
 /// Returns the hash of one incarnation of a router.
-pub(super) fn incarnation_hash(vm: &VmId, life: Incarnation) -> u64 {
-    xxh3_64_with_seed(vm.as_str().as_bytes(), life.0)
+pub(super) fn incarnation_hash(vm: &VmId, incarnation: Incarnation) -> u64 {
+    xxh3_64_with_seed(vm.as_str().as_bytes(), incarnation.0)
 }
 
 fn bucket(vm: &VmId) -> usize {
@@ -213,21 +213,21 @@
             let known = self.by_vm.iter().find(|(_, p)| p.address == hub);
             return known.map(Receiver::of);
         }
-        let tries_gone = turn.is_multiple_of(COMPARISONS_PER_DOWN_PEER);
+        let tries_down = turn.is_multiple_of(COMPARISONS_PER_DOWN_PEER);
         let tries_far = turn % COMPARISONS_PER_REMOTE_PEER == 1;
-        let is_near = |p: &Peer| p.hall == self.hall || tries_far || tries_gone;
+        let is_near = |p: &Peer| p.hall == self.hall || tries_far || tries_down;
         let is_candidate =
-            |p: &Peer| is_near(p) && self.is_alive(now, p) != tries_gone && !p.stopping;
-        let living = self
+            |p: &Peer| is_near(p) && self.is_alive(now, p) != tries_down && !p.stopping;
+        let live = self
             .by_vm
             .iter()
             .filter(|(_, p)| is_candidate(p))
             .map(Receiver::of);
-        let unheard = self
+        let unconfirmed = self
             .unconfirmed_addresses
             .keys()
             .map(|address| Receiver::at(*address));
-        let mut candidates: Vec<Receiver> = living.chain(unheard).collect();
+        let mut candidates: Vec<Receiver> = live.chain(unconfirmed).collect();
         if candidates.is_empty() {
             let all = self.by_vm.iter().filter(|(_, p)| self.is_alive(now, p));
             candidates = all.map(Receiver::of).collect();
@@ -240,11 +240,11 @@
 
     /// Returns the first step of a comparison.
     pub fn compare(&self) -> Exchange {
-        let lives = self
+        let hashes = self
             .digest_members()
-            .map(|(vm, life)| incarnation_hash(vm, life));
+            .map(|(vm, incarnation)| incarnation_hash(vm, incarnation));
         Exchange::Compare {
-            digest: lives.fold(0, |all, life| all ^ life),
+            digest: hashes.fold(0, |all, hash| all ^ hash),
             routers: self.digest_members().count() as u32,
         }
     }
@@ -305,7 +305,7 @@
     /// Applies one record; returns whether the router became alive.
     fn on_record(&mut self, now: Instant, record: &MemberRecord) -> bool {
         let ago = |ms: u32| now.before(Duration::from_millis(u64::from(ms)));
-        let silent_after = timing::failure_timeout(self.fleet_size());
+        let timeout = timing::failure_timeout(self.fleet_size());
         let known = self.by_vm.get_mut(&record.vm);
         match (known, record.state) {
             (None, RecordState::Alive { heard_ms }) => {
@@ -322,7 +322,7 @@
                 peer.last_reported_heartbeat = peer.last_reported_heartbeat.max(Some(at));
                 let is_back = peer
                     .down_since
-                    .is_some_and(|gone| at > gone + DOWN_REPORT_TOLERANCE);
+                    .is_some_and(|down_since| at > down_since + DOWN_REPORT_TOLERANCE);
                 let revived = is_back && !peer.stopping;
                 if revived {
                     peer.down_since = None;
@@ -336,7 +336,7 @@
                 let since = ago(since_ms);
                 // Where two halls cannot reach each other and a third reaches both, each takes the
                 // other's hubs for down.
-                let is_active = peer.has_sent() && now.since(peer.last_datagram_at) < silent_after;
+                let is_active = peer.has_sent() && now.since(peer.last_datagram_at) < timeout;
                 let is_older = peer.last_heartbeat() <= since + DOWN_REPORT_TOLERANCE;
                 let is_new = peer.down_since.is_none() && is_older && !is_active;
                 if is_new {
@@ -363,17 +363,17 @@
         &mut self,
         now: Instant,
         record: &MemberRecord,
-        heard: Instant,
-        gone_at: Option<Instant>,
+        heartbeat: Instant,
+        down_since: Option<Instant>,
     ) -> bool {
-        if now.since(heard) >= ADDRESS_TTL {
+        if now.since(heartbeat) >= ADDRESS_TTL {
             return false;
         }
-        let peer = Peer::from_record(record, now, heard, gone_at);
+        let peer = Peer::from_record(record, now, heartbeat, down_since);
         self.by_vm.insert(record.vm.clone(), peer);
         self.unconfirmed_addresses.remove(&record.address);
         self.on_change(now, &record.vm);
-        gone_at.is_none()
+        down_since.is_none()
     }
 
     /// Returns the records in buckets that differ, as many as may be sent; each call starts at
@@ -409,8 +409,8 @@
 
     fn buckets(&self) -> Vec<u32> {
         let mut buckets = vec![0; BUCKETS];
-        for (vm, life) in self.digest_members() {
-            buckets[bucket(vm)] ^= incarnation_hash(vm, life) as u32;
+        for (vm, incarnation) in self.digest_members() {
+            buckets[bucket(vm)] ^= incarnation_hash(vm, incarnation) as u32;
         }
         buckets
     }
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -55,8 +55,8 @@
 /// a fleet of `routers`.
 pub fn send_interval(routers: usize) -> Duration {
     let routers = u32::try_from(routers).unwrap_or(u32::MAX);
-    let paced = SEND_INTERVAL_PER_ROUTER.saturating_mul(routers);
-    paced.clamp(MIN_SEND_INTERVAL, MAX_SEND_INTERVAL)
+    let interval = SEND_INTERVAL_PER_ROUTER.saturating_mul(routers);
+    interval.clamp(MIN_SEND_INTERVAL, MAX_SEND_INTERVAL)
 }
 
 /// Returns the longest interval between two datagrams of a router to its hubs.
