--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -66,7 +66,7 @@
 pub enum Message<State = Box<Datagram>> {
     /// The sender's calls in progress and its other state.
     State(State),
-    /// Request for a share of an account's limits, sent to the router that keeps the account.
+    /// Request for a share of an account's limits, sent to the router that owns the account.
     ShareRequest {
         /// VM of the sender.
         from: VmId,
@@ -99,7 +99,8 @@
     pub sent: Stamp,
     /// Latest stamp that the sender received from the receiver.
     pub echo: Option<Stamp>,
-    /// Configuration version that the sender applies, and the age of its proof in milliseconds.
+    /// Configuration version that the sender applies, and the age of its confirmation in
+    /// milliseconds.
     pub config: Option<(ConfigVersion, u32)>,
     /// Store readers, each with the time since it last received an answer from the store, in
     /// milliseconds.
@@ -118,7 +119,7 @@
     /// Calls in progress at all routers of some data halls: [`HallSums`], encoded once for all
     /// receivers. Empty unless the sender aggregates the counts of its data hall.
     pub halls: Vec<u8>,
-    /// Membership summary of each data hall, as its hub sees it; empty unless the sender is a hub.
+    /// Member digest of each data hall, as its hub sees it; empty unless the sender is a hub.
     pub member_digests: Vec<MemberDigest>,
     /// Step of a membership comparison.
     pub exchange: Option<Exchange>,
@@ -126,9 +127,9 @@
     pub rates: Vec<RateReport>,
     /// Targets that just broke off a call at once, as seen by the sender or reported to it.
     pub outages: Vec<OutageNotice>,
-    /// Targets that ended while they ran requests, as found by the sender or reported to it.
+    /// Targets that crashed while they ran requests, as found by the sender or reported to it.
     pub crashes: Vec<CrashNotice>,
-    /// Requests that are held back and not known to be recorded in the store; usually empty.
+    /// Requests that are quarantined and not known to be recorded in the store; usually empty.
     pub quarantined: Vec<QuarantineNotice>,
     /// Targets that do not answer the sender.
     pub suspected: Vec<TargetHash>,
--- a/src/membership/feeders.rs
+++ b/src/membership/feeders.rs
@@ -7,8 +7,8 @@
 //!
 //! The load pattern behind this design is hundreds of routers in front of thousands of targets. If
 //! three readers fed all of them, each reader would send every list several hundred times over one
-//! link. The proof that the configuration is current would have to travel in datagrams through
-//! hubs, each of which adds its send interval twice.
+//! link. The confirmation of the configuration would have to travel in datagrams through hubs, each
+//! of which adds its send interval twice.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/src/membership/heartbeats.rs
+++ b/src/membership/heartbeats.rs
@@ -2,9 +2,9 @@
 //!
 //! Routers send heartbeats to the hubs of their data hall several times a second. A hub that has
 //! received nothing from a router for [`timing::failure_timeout`] reports it as down, and the next
-//! datagrams carry that report to all routers. Every hub also sends a roll: a digest of the live
-//! routers in its data hall. For a router that computes the same digest, the roll is a heartbeat of
-//! all of them in a few bytes; a router that computes another one compares its records with the
+//! datagrams carry that report to all routers. Every hub also sends a member digest, which covers
+//! the live routers in its data hall. For a router that computes the same digest, it is a heartbeat
+//! of all of them in a few bytes; a router that computes another one compares its records with the
 //! hub's. So neither the traffic nor the time for which a dead router is still used grows with the
 //! size of the fleet.
 
@@ -23,17 +23,17 @@
 /// interval.
 const MIN_STALL: Duration = Duration::from_secs(1);
 
-/// Factor on the silence limit for a router that this one learned of recently and has no datagram
+/// Factor on the failure timeout for a router that this one learned of recently and has no datagram
 /// from: it may not know any hub yet.
 const NEW_PEER_FACTOR: f64 = 4.0;
 
-/// Factor on the silence limit for a router that has sent nothing since this one became its hub.
+/// Factor on the failure timeout for a router that has sent nothing since this one became its hub.
 ///
 /// Such a router notices that the previous hub is down only after the same silence.
 const NEWLY_MONITORED_FACTOR: f64 = 1.5;
 
-/// Multiple of the silence limit for which a router counts as alive while no roll of its data hall
-/// matches.
+/// Multiple of the failure timeout for which a router counts as alive while no digest of its data
+/// hall matches.
 const UNCONFIRMED_FACTOR: u32 = 4;
 
 /// Short hash of a router's name.
@@ -56,28 +56,28 @@
     }
 }
 
-/// Summary of the routers of one data hall from which its hub receives heartbeats.
+/// Digest of the routers of one data hall from which its hub receives heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDigest {
     hall: DataHall,
-    /// Time since the hub made the roll, in milliseconds.
+    /// Time since the hub computed the digest, in milliseconds.
     age_ms: u16,
-    /// Digest of the incarnations of these routers.
+    /// Combined hash of the incarnations of these routers.
     digest: u64,
     /// Number of calls that they accepted in the last seconds; the retry budget is divided by it.
     calls: u32,
 }
 
-/// Rolls that a hub sends.
+/// Member digests that a hub sends.
 #[derive(Debug, Default)]
 pub struct HubDigests {
-    /// Rolls of all data halls, for the routers of the hub's own data hall.
+    /// Digests of all data halls, for the routers of the hub's own data hall.
     pub for_own_hall: Vec<MemberDigest>,
-    /// Roll of the hub's own data hall, for the hubs of the others.
+    /// Digest of the hub's own data hall, for the hubs of the others.
     pub for_other_halls: Vec<MemberDigest>,
 }
 
-/// Latest roll of a data hall.
+/// Latest member digest of a data hall.
 #[derive(Debug)]
 pub(super) struct KnownDigest {
     at: Instant,
@@ -92,8 +92,8 @@
         timing::failure_timeout(self.fleet_size()) * UNCONFIRMED_FACTOR
     }
 
-    /// Returns the rolls that this router sends as a hub; `own_calls` are its own calls of the last
-    /// seconds.
+    /// Returns the member digests that this router sends as a hub; `own_calls` are its own calls of
+    /// the last seconds.
     pub fn hub_digests(&mut self, now: Instant, own_calls: u32) -> HubDigests {
         let near = self.by_vm.values().filter(|p| p.hall == self.hall);
         let calls = near.map(|p| p.calls).sum::<u32>() + own_calls;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Applies rolls from a hub, of its own data hall or of others.
+    /// Applies member digests from a hub, of its own data hall or of others.
     pub(super) fn on_member_digests(
         &mut self,
         now: Instant,
@@ -216,7 +216,7 @@
         self.update_monitored(now);
     }
 
-    /// Returns the factor on the silence limit of a router that this one monitors.
+    /// Returns the factor on the failure timeout of a router that this one monitors.
     fn silence_factor(&self, now: Instant, peer: &Peer) -> f64 {
         let is_new = now.since(peer.changed_at) < self.unconfirmed_timeout();
         match () {
@@ -261,7 +261,7 @@
         if self.is_aggregator(now) {
             monitored.extend(self.remote_first_hubs(now));
         }
-        // Includes routers that only this one takes for dead: its roll covers all that no hub
+        // Includes routers that only this one takes for dead: its digest covers all that no hub
         // reported as down.
         let is_counted = |vm: &VmId| self.by_vm.get(vm).is_some_and(|p| p.down_since.is_none());
         monitored.retain(is_counted);
@@ -270,7 +270,7 @@
         monitored
     }
 
-    /// Restarts the silence limits of all routers that were alive if this router stalled between
+    /// Restarts the failure timeouts of all routers that were alive if this router stalled between
     /// two ticks.
     ///
     /// Otherwise it would take the whole fleet's retry budget for itself until the next datagrams
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -86,7 +86,7 @@
         peer.is_none_or(|p| now.since(p.last_datagram_at) >= timeout)
     }
 
-    /// Returns the `n` routers that keep `thing` together, selected among those of higher capacity.
+    /// Returns the `n` routers that own `key` together, selected among those of higher capacity.
     ///
     /// Candidates have at least half the capacity of the strongest router, unless fewer than `n`
     /// have.
@@ -102,7 +102,7 @@
         let strongest = capacities.first().copied().unwrap_or_default();
         let nth = capacities.get(n.saturating_sub(1)).copied();
         let minimum = strongest.halved().min(nth.unwrap_or_default());
-        all.retain(|(_, strength)| *strength >= minimum);
+        all.retain(|(_, capacity)| *capacity >= minimum);
         owners(key, all.into_iter().map(|(vm, _)| vm), n)
     }
 
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Builds the state from a record that a peer sent; `heard` is the time of the last heartbeat
-    /// in it.
+    /// Builds the state from a record that a peer sent; `heartbeat` is the time of the last
+    /// heartbeat in it.
     pub(super) fn from_record(
         record: &MemberRecord,
         now: Instant,
@@ -141,7 +141,7 @@
         self.number > 0
     }
 
-    /// Whether `life`, an incarnation other than the known one, is over.
+    /// Whether `other`, an incarnation other than the known one, is over.
     ///
     /// Incarnations are numbered by the time of day, which may have been set back: a lower number
     /// is accepted once the known incarnation is silent.
@@ -150,7 +150,7 @@
         self.former_incarnation == Some(other) || (self.incarnation() > other && is_active)
     }
 
-    /// Whether `life`, an incarnation that others report, may be a later one than the known one.
+    /// Whether `other`, an incarnation that others report, may be a later one than the known one.
     ///
     /// One with a lower number is accepted only from the router's own datagrams.
     pub(super) fn may_be_succeeded_by(&self, other: Incarnation) -> bool {
@@ -166,8 +166,8 @@
     /// Whether the router is alive, given the limits on its silence.
     ///
     /// A router that did not answer a call is alive again once others report a later heartbeat. The
-    /// true time of a reported heartbeat is earlier than the reported one by `silent_after` at the
-    /// most.
+    /// true time of a reported heartbeat is earlier than the reported one by `failure_timeout` at
+    /// the most.
     pub(super) fn is_alive(&self, now: Instant, limits: SilenceLimits) -> bool {
         let heartbeat = self.last_heartbeat();
         let is_back = |at: Instant| heartbeat > at + limits.failure_timeout;
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -61,7 +61,7 @@
     pub(super) own_address: SocketAddr,
     pub(super) by_vm: BTreeMap<VmId, Peer>,
     pub(super) unconfirmed_addresses: BTreeMap<SocketAddr, Instant>,
-    /// Latest roll of each data hall.
+    /// Latest member digest of each data hall.
     pub(super) digests: BTreeMap<DataHall, KnownDigest>,
     pub(super) comparison: ComparisonState,
     /// Since when this router monitors others.
@@ -225,12 +225,12 @@
         is_due
     }
 
-    /// Whether this router is the keeper of `thing` for the fleet.
+    /// Whether this router owns `key` for the fleet.
     pub fn is_owner_of(&self, now: Instant, key: &str) -> bool {
         self.owner_of(now, key).is_none()
     }
 
-    /// Returns the address of the router that is the keeper of `thing`; `None` if it is this one.
+    /// Returns the address of the router that owns `key`; `None` if it is this one.
     pub fn owner_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
         let keeper = owner(key, self.live_names(now))?;
         self.by_vm.get(keeper).map(|p| p.address)
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -135,7 +135,7 @@
     last_change_at: Instant,
     /// Highest number of routers that a peer reported.
     routers_reported: u32,
-    /// Address of a hub whose roll differs from what is known here.
+    /// Address of a hub whose member digest differs from what is known here.
     differs_from: Option<SocketAddr>,
     turn: u64,
     record_budget: f64,
@@ -205,7 +205,7 @@
         (self.by_vm.len() + 1).max(self.comparison.routers_reported as usize)
     }
 
-    /// Returns the router to compare with next: a hub whose roll differs, or a random router.
+    /// Returns the router to compare with next: a hub whose digest differs, or a random router.
     pub fn comparison_peer(&mut self, now: Instant) -> Option<Receiver> {
         self.comparison.turn += 1;
         let turn = self.comparison.turn;
