--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -118,7 +118,7 @@
     ///
     /// `goal` is the shortest time within which any kind of call of the service should be answered.
     pub fn limit(&self, service: &ServiceName, goal: Duration) -> CallLimit {
-        let mean = self.services.get(service).and_then(|p| p.slot_time.mean());
+        let mean = self.services.get(service).and_then(|s| s.slot_time.mean());
         CallLimit::new(goal, mean)
     }
 
@@ -170,17 +170,17 @@
 
     /// Returns the estimate of a service's capacity.
     pub fn capacity_estimate(&self, now: Instant, service: &ServiceName) -> CapacityEstimate {
-        let pool = self.services.get(service);
+        let state = self.services.get(service);
         CapacityEstimate {
-            slot_time: pool.and_then(|p| p.slot_time.mean()),
-            shortage_age: pool.and_then(|p| p.shortage.age(now)),
+            slot_time: state.and_then(|s| s.slot_time.mean()),
+            shortage_age: state.and_then(|s| s.shortage.age(now)),
         }
     }
 
     /// Iterates over the services and the mean time for which their calls occupy a slot, where it
     /// is known.
     pub fn mean_slot_times(&self) -> impl Iterator<Item = (&ServiceName, Duration)> {
-        let mean = |(service, pool): (_, &ServiceState)| Some((service, pool.slot_time.mean()?));
+        let mean = |(service, state): (_, &ServiceState)| Some((service, state.slot_time.mean()?));
         self.services.iter().filter_map(mean)
     }
 
@@ -195,12 +195,12 @@
         left: Duration,
         draw: f64,
     ) -> Duration {
-        let room = self.capacity_estimate(now, service);
-        let remaining = room
+        let estimate = self.capacity_estimate(now, service);
+        let remaining = estimate
             .shortage_age
             .map_or(Duration::ZERO, shortage::expected_remaining);
         shortage::retry_after(
-            remaining.max(room.slot_time.unwrap_or_default()),
+            remaining.max(estimate.slot_time.unwrap_or_default()),
             left,
             draw,
         )
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -73,8 +73,8 @@
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.calls += 1.0;
-        let present_s = CURRENT_TIME_CONSTANT.as_secs_f64();
-        self.current = self.current * (-passed / present_s).exp() + 1.0 / present_s;
+        let time_constant_s = CURRENT_TIME_CONSTANT.as_secs_f64();
+        self.current = self.current * (-passed / time_constant_s).exp() + 1.0 / time_constant_s;
         self.usual = match self.has_usual_rate(now) {
             true => self.usual_after(passed),
             // The mean so far.
@@ -88,12 +88,12 @@
         };
     }
 
-    /// Updates the estimate with the current rate `present` of a report.
-    fn on_report(&mut self, now: Instant, present: f64) {
+    /// Updates the estimate with the current rate `current` of a report.
+    fn on_report(&mut self, now: Instant, current: f64) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
-        self.calls += present * passed;
-        self.current = present;
+        self.calls += current * passed;
+        self.current = current;
         self.usual = match self.has_usual_rate(now) {
             true => self.usual_after(passed),
             // The mean so far.
@@ -186,8 +186,8 @@
                 .or_insert_with(|| RateEstimate::new(now));
         }
         for (account, rates) in &mut self.fleet {
-            let present = sum.accounts.get(account).copied();
-            rates.on_report(now, present.unwrap_or_default());
+            let current = sum.accounts.get(account).copied();
+            rates.on_report(now, current.unwrap_or_default());
         }
         let is_silent = |r: &RateEstimate| r.current <= 0.0 && r.usual < NEGLIGIBLE_RATE;
         self.fleet
@@ -219,11 +219,11 @@
     {
         return Surge::None;
     }
-    let others_present = all.current - account.current;
+    let others_current = all.current - account.current;
     let others_usual = all.usual - account.usual;
     // If no other account has a usual rate, the account is compared with its own usual rate alone.
     let others_growth = match others_usual > 0.0 {
-        true => (others_present / others_usual).max(1.0),
+        true => (others_current / others_usual).max(1.0),
         false => 1.0,
     };
     let threshold = account.usual * others_growth * SURGE_FACTOR;
