--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -47,8 +47,8 @@
 }
 
 impl CallLimit {
-    /// Computes the limit from the shortest goal and from `slot_time`, the mean time for which a call
-    /// occupies a slot.
+    /// Computes the limit from the shortest goal and from `slot_time`, the mean time for which a
+    /// call occupies a slot.
     ///
     /// Until that time is known, the limit is one call per slot.
     pub(super) fn new(goal: Duration, slot_time: Option<Duration>) -> Self {
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -35,7 +35,8 @@
 /// before calls of surging accounts stayed below the limit).
 const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
-/// Minimum number of calls within [`CURRENT_TIME_CONSTANT`] for an account to surge; fewer calls may be chance.
+/// Minimum number of calls within [`CURRENT_TIME_CONSTANT`] for an account to surge; fewer calls
+/// may be chance.
 const MIN_SURGE_CALLS: f64 = 8.0;
 
 /// Rate, in calls per second, below which an account's usual rate is negligible.
@@ -47,10 +48,15 @@
 /// Current and usual rate, in calls per second.
 #[derive(Debug, Clone, Copy)]
 struct RateEstimate {
+    /// Time of the first observation.
     since: Instant,
+    /// Time of the last update.
     at: Instant,
+    /// Number of calls since the first observation.
     calls: f64,
+    /// Current rate, decaying with [`CURRENT_TIME_CONSTANT`].
     current: f64,
+    /// Usual rate: the mean until [`MIN_OBSERVATION`] has passed, then a moving average.
     usual: f64,
 }
 
@@ -88,7 +94,7 @@
         };
     }
 
-    /// Updates the estimate with the current rate `current` of a report.
+    /// Updates the estimate with a reported rate.
     fn on_report(&mut self, now: Instant, current: f64) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
@@ -107,13 +113,14 @@
         };
     }
 
-    /// Returns the current rate at `now`, decayed since the last call.
+    /// Returns the current rate at `now`, decayed since the last update.
     fn current_at(&self, now: Instant) -> f64 {
         let passed = now.since(self.at).as_secs_f64();
         self.current * (-passed / CURRENT_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// Returns the usual rate after `passed` seconds. Its growth is limited by [`USUAL_DOUBLING_TIME`].
+    /// Returns the usual rate after `passed` seconds. Its growth is limited by
+    /// [`USUAL_DOUBLING_TIME`].
     fn usual_after(&self, passed: f64) -> f64 {
         let weight = 1.0 - (-passed / USUAL_TIME_CONSTANT.as_secs_f64()).exp();
         let max = self.usual * (passed / USUAL_DOUBLING_TIME.as_secs_f64()).exp2();
--- a/src/outages.rs
+++ b/src/outages.rs
@@ -21,9 +21,9 @@
 /// down for about a second.
 const AVOIDANCE_TIME: Duration = Duration::from_millis(800);
 
-/// Maximum number of times that this time doubles while the target is still down when it is tried
-/// again. The target is then avoided until its entry expires, which takes three heartbeats of more
-/// than a second.
+/// Maximum number of times that [`AVOIDANCE_TIME`] doubles while the target is still down when it
+/// is tried again. The target is then avoided until its entry expires, which takes three heartbeats
+/// of more than a second.
 const MAX_DOUBLINGS: u32 = 2;
 
 /// Time after the end of an avoidance within which a further failure continues the same outage:
