--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -18,7 +18,7 @@
 /// Part of the send interval per router of the fleet, which keeps the load of a hub constant.
 ///
 /// The more routers there are, the smaller the part of the traffic that each one has, and the
-/// slower its counts change relative to the calls in progress. Up to 85 routers the interval stays
+/// slower its counts change relative to the calls in progress. Up to about 85 routers the interval stays
 /// at its minimum.
 const SEND_INTERVAL_PER_ROUTER: Duration = Duration::from_micros(1_200);
 
