--- a/src/health.rs
+++ b/src/health.rs
@@ -58,7 +58,7 @@
 }
 
 #[derive(Debug, Default)]
-struct TargetState {
+struct TargetHealth {
     /// Exponential moving average of failures, from 0 to 1.
     failure_rate: f64,
     /// Number of consecutive failures.
@@ -116,7 +116,7 @@
 /// Health of all targets.
 #[derive(Debug, Default)]
 pub struct Health {
-    records: HashMap<TargetId, TargetState>,
+    records: HashMap<TargetId, TargetHealth>,
     in_progress: HashMap<TargetId, CallsInProgress>,
     suspicions: Suspicions,
     /// Targets that were recently found to be down.
@@ -247,7 +247,7 @@
     }
 }
 
-impl TargetState {
+impl TargetHealth {
     fn on_good(&mut self) {
         self.consecutive_failures = 0;
         self.failure_rate *= 1.0 - OUTCOME_WEIGHT;
