--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a call is taken, and what it needs to be served.
+//! Decides whether a call is admitted, and gathers what its attempts need.
 
 use std::{borrow::Cow, rc::Rc, time::Duration};
 
@@ -28,20 +28,19 @@
     units::{Instant, Rank, Tokens},
 };
 
-/// A whole call as it came in.
+/// A request that has been read completely and is not admitted yet.
 pub(crate) struct Arrived {
-    /// Its head.
+    /// Method, URI and headers.
     pub(crate) head: request::Parts,
-    /// Its body; `None` for one above the limit.
+    /// Body; `None` if it is above the size limit.
     pub(crate) body: Option<Bytes>,
-    /// Its id.
+    /// Caller's id of the call, if it sent one.
     pub(crate) id: Option<String>,
-    /// When its head was read.
+    /// Instant at which the head was read.
     pub(crate) received: Instant,
 }
 
-/// Waits for the first configuration of a router that has just started, as long as one is expected
-/// soon.
+/// Waits for the first configuration if the router has just started and one is expected soon.
 pub(crate) async fn await_config(cx: &Gateway, arrived: &Arrived) {
     if cx.serving().is_some() {
         return;
@@ -57,7 +56,7 @@
         "waited_ms" => cx.now().since(arrived.received).as_millis() as u64);
 }
 
-/// How long the caller waits in all, where it says so.
+/// Returns how long the caller waits for the answer in total, if the call states it.
 fn deadline(cx: &Gateway, arrived: &Arrived) -> Option<Duration> {
     let body = arrived.body.as_ref()?;
     let facts = cx
@@ -66,7 +65,7 @@
     facts.ok()?.deadline
 }
 
-/// A refusal for want of a configuration.
+/// Builds the refusal of a call that arrives while the router has no configuration.
 fn no_config(cx: &Gateway, arrived: &Arrived) -> Refusal {
     let left = deadline(cx, arrived).unwrap_or(USUAL_PATIENCE);
     let dispatcher = cx.dispatcher.borrow();
@@ -78,11 +77,11 @@
     }
 }
 
-/// How long a caller is taken to wait that does not say: the shortest of the users' deadlines for
-/// streams.
+/// Time that a caller is assumed to wait if its call states no deadline: the shortest of the users'
+/// deadlines for streams.
 const USUAL_PATIENCE: Duration = Duration::from_millis(2_500);
 
-/// Takes a call in, or says why not; notes which request it is.
+/// Admits a call, or returns why it is refused. Records the request's fingerprint in `ending`.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
     arrived: Arrived,
@@ -107,7 +106,7 @@
         return Err(Refusal::new(ResultCode::Draining, "stopping"));
     }
     if cx.in_progress.get() > cx.cfg.max_calls {
-        let why = "as many calls in progress as there may be";
+        let why = "the maximum number of calls is in progress";
         return Err(Refusal::new(ResultCode::RouterFull, why));
     }
     let needs_key = config.requires_keys && !route.public;
@@ -195,7 +194,7 @@
     })
 }
 
-/// How long a call is held: the caller's own time, but no longer than the route allows.
+/// Computes the call's timeout: the caller's deadline, but at most the route's timeout.
 fn held_for(facts: &CallFacts, route: &Route) -> Duration {
     facts
         .deadline
@@ -210,7 +209,8 @@
     Some(holder.map_or(chat, |h| chat.within(&h.account)))
 }
 
-/// The account's rank or else the route's; less urgent where the caller wishes it.
+/// Returns the call's urgency: the account's rank, or the route's if the account has none or the
+/// route's calls are claimed. The caller can only lower it.
 fn rank(facts: &CallFacts, route: &Route, holder: Option<&KeyOwner>) -> Rank {
     let own = holder.and_then(|h| h.rank).unwrap_or(route.rank);
     let own = if route.claimed { route.rank } else { own };
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a call: a target, a connection, the head of its answer.
+//! One attempt of a call: chooses a target, gets a connection, sends the call and reads the head of
+//! the answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -32,35 +33,39 @@
     units::{Instant, Rank},
 };
 
-/// A caller's call, whole, with all that its attempts need.
+/// An admitted call with its complete body and everything that its attempts need.
 pub(crate) struct Call {
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     pub(crate) id: Option<String>,
-    /// The same at each return of the caller with the same request.
+    /// Hash of the request; it is the same each time that the caller sends the same request.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) facts: CallFacts,
     pub(crate) route: Rc<Route>,
     pub(crate) holder: Option<KeyOwner>,
     pub(crate) plan: CallPlan,
+    /// Maximum number of connections of this router to one target of the service.
     pub(crate) conn_limit: usize,
+    /// Instant at which the head of the request was read.
     pub(crate) received: Instant,
-    /// When an answer is of no use any more, or the operator wants the call ended.
+    /// Instant at which the call ends: the caller's deadline or the route's timeout, whichever is
+    /// earlier.
     pub(crate) hold_until: Instant,
     pub(crate) attempts: Attempts,
-    /// How urgent it is.
+    /// Urgency of the call.
     pub(crate) rank: Rank,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub(crate) last_event: Option<u64>,
 }
 
 impl Call {
-    /// The caller's id of the call, for logs.
+    /// Returns the caller's id of the call, or `-` if it has none; for logs.
     pub(crate) fn id(&self) -> &str {
         self.id.as_deref().unwrap_or("-")
     }
 
-    /// The path as the target sees it; the caller's own where nothing is hidden.
+    /// Returns the URI that is sent to the target: the caller's URI without the route's stripped
+    /// prefix.
     fn handed_uri(&self) -> Uri {
         let uri = &self.head.uri;
         let hidden = self.route.stripped_prefix.as_str();
@@ -74,7 +79,7 @@
     }
 }
 
-/// An answer that has begun: its head is sound, its body is yet to come.
+/// An answer of which the head has arrived and is valid, and the body has not been read yet.
 pub(crate) struct Begun {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
@@ -83,19 +88,21 @@
     pub(crate) place: Place,
 }
 
-/// An attempt that brought no answer.
+/// A failed attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Failed {
     /// Whether the target ran the call.
     pub(crate) fate: Execution,
-    /// How it ended.
+    /// How the attempt ended.
     pub(crate) end: AttemptEnd,
-    /// Nothing was sent, and no other target is left to try.
+    /// Whether no further attempt can follow: the attempt was not sent as no target or no time was
+    /// left or the request is quarantined, or another target's stream does not continue the first.
     pub(crate) nowhere: bool,
 }
 
 impl Failed {
-    /// What the call failed for: where no other target was left to try, what happened before.
+    /// Returns the failure to report for the call: the earlier attempt's failure `before`, if this
+    /// attempt ended with no further attempt possible, and this one otherwise.
     pub(crate) fn after(self, before: Option<Self>) -> Self {
         match before {
             Some(before) if self.nowhere => before,
@@ -128,7 +135,7 @@
     }
 }
 
-/// Makes one attempt: waits at most `patience` for the head of the answer.
+/// Makes one attempt, and waits at most `patience` for the head of the answer.
 pub(crate) async fn attempt(
     cx: &Rc<Gateway>,
     call: &mut Call,
@@ -142,14 +149,15 @@
     failed_fate
 }
 
-/// A place at a target and a connection there; targets that can't be reached are passed over.
+/// Chooses a target and gets a connection to it. Targets that cannot be reached are skipped.
 async fn connect(cx: &Rc<Gateway>, call: &mut Call) -> Result<(Place, Conn), Failed> {
     loop {
         let now = cx.now();
         if now >= call.hold_until {
             return Err(Failed::nowhere(AttemptEnd::NoTimeLeft));
         }
-        // Of what comes back at once and in numbers some calls wait here already.
+        // Checked again before each choice: if a caller sends a request again at once and many times,
+        // some of these calls are already waiting here when the request is quarantined.
         if endings::held_back(cx, call.fingerprint).is_some() {
             return Err(Failed::nowhere(AttemptEnd::HeldBack));
         }
@@ -209,7 +217,7 @@
     let res = match answer {
         Some(Ok(res)) => res,
         Some(Err(mut e)) => {
-            // A request that comes back was never written.
+            // The client hands a request back only if it was never written to the connection.
             let unsent = e.take_message().is_some();
             if let Some(rested) = conn.rested() {
                 cx.conns.on_broke_after(cx.now(), rested);
@@ -249,7 +257,7 @@
     judge(cx, call, begun)
 }
 
-/// Nothing listens where a target was, or another one has its address.
+/// Records that a target is down: nothing listens at its address, or another target has the address.
 fn on_refused(cx: &Gateway, call: &Call, target: &TargetId) {
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
@@ -257,7 +265,7 @@
     info!(cx.log, "outage"; "id" => call.id(), "target" => %target, "refused" => true);
 }
 
-/// A connection broke without an answer to a call that was sent on it at `sent`.
+/// Records that a connection broke before the answer to a call that was sent on it at `sent`.
 fn on_broke(cx: &Gateway, call: &Call, target: &TargetId, sent: Instant) {
     let now = cx.now();
     let after = now.since(sent);
@@ -269,7 +277,7 @@
     }
 }
 
-/// Whether the head is that of an answer to this very call.
+/// Checks that the head belongs to the target's answer to this call, and fails the attempt otherwise.
 fn judge(cx: &Gateway, call: &Call, begun: Begun) -> Result<Begun, Failed> {
     let facts = &begun.facts;
     let status = begun.head.status;
--- a/src/edge/attempt_end.rs
+++ b/src/edge/attempt_end.rs
@@ -1,4 +1,4 @@
-//! How attempts end, as a type that decisions match on; its text is for logs and metrics only.
+//! How attempts end. Code matches on the type; its text is for logs, metrics and error messages only.
 
 use std::fmt;
 
@@ -7,64 +7,64 @@
 /// How one attempt ended, or why none could be made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// The target's whole answer came.
+    /// The target sent its complete answer.
     Answered,
     /// The target answered with an error of its own.
     TargetError,
-    /// Nobody waited for it any more.
+    /// The attempt was dropped before it ended, for example because the caller left.
     Abandoned,
-    /// The call's time was over before an attempt.
+    /// The call's deadline passed before the attempt was sent.
     NoTimeLeft,
-    /// No target was left that the call was not sent to.
+    /// No target is left that the call has not tried.
     NoTarget,
-    /// All targets had as many calls as they may.
+    /// All targets had their maximum number of calls in progress.
     AllFull,
-    /// All targets that might have had room were cold.
+    /// All targets that might have had free capacity were cold.
     AllCold,
-    /// All targets stood in data halls that are evacuated.
+    /// All targets are in data halls that are being evacuated.
     AllEvacuated,
-    /// All targets have said that they leave.
+    /// All targets have announced that they are leaving.
     AllLeaving,
-    /// All targets want no calls for a while, or leave.
+    /// All targets have asked for no calls for a while, or are leaving.
     AllBackedOff,
-    /// The target said, while a connection to it was opened, that it wants no calls.
+    /// The target announced that it accepts no calls while a connection to it was being opened.
     Withdrawn,
-    /// Targets ended under the same request.
+    /// The request is quarantined, because targets crashed while they ran it.
     HeldBack,
-    /// This router's connections to the target were all in use.
+    /// This router has its maximum number of connections to the target.
     ConnectionsAtLimit,
     /// The target refused a connection.
     ConnectionRefused,
-    /// The target did not accept a connection.
+    /// The target did not accept a connection in time, or the network path to it is broken.
     Unreachable,
     /// The connection closed before the call was written to it.
     ClosedBefore,
-    /// The connection closed before an answer.
+    /// The connection closed before the head of an answer arrived.
     ConnectionBroke,
-    /// The call's time was over before the answer was.
+    /// The call's deadline passed before the answer was complete.
     TimeUp,
-    /// The target sent nothing for too long.
+    /// The target sent nothing for longer than the timeout.
     Silent,
-    /// An answer to another call came.
+    /// The answer carries the id of another call.
     AnotherAnswer,
-    /// Another target has the address now.
+    /// Another target has the address now, and refused the call.
     AnotherTarget,
-    /// The target refused the call as not run.
+    /// The target refused the call and stated that it did not run it.
     Refused,
-    /// A success without the target's signature, or encoded.
+    /// A success response without the target's signature header, or one with an encoded body.
     NotTargetsAnswer,
-    /// The body ended before it was complete.
+    /// The body of the answer ended before it was complete.
     AnswerBrokeOff,
-    /// The stream ended within an event.
+    /// The stream ended in the middle of an event.
     EventCutOff,
-    /// An event was larger than any may be.
+    /// An event was larger than the maximum size.
     EventTooLarge,
-    /// Another target's answer does not follow the last event.
+    /// The stream of another target does not continue after the last event that the caller has.
     DoesNotFollow,
 }
 
 impl AttemptEnd {
-    /// Its name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Whether it broke off as it does where the target ends under it.
+    /// Returns whether the attempt broke off in a way that a crash of the target causes.
     pub(crate) fn is_break(self) -> bool {
         matches!(
             self,
@@ -105,12 +105,12 @@
         )
     }
 
-    /// Whether the target answered, well or not, and so outlived the call.
+    /// Returns whether the target sent an answer, be it a success or an error, and thus survived the call.
     pub(crate) fn is_answer(self) -> bool {
         matches!(self, Self::Answered | Self::TargetError)
     }
 
-    /// What it says of the target's health; `None` where it says nothing.
+    /// Returns the outcome for the target's health; `None` if it does not indicate the health.
     pub(crate) fn outcome(self) -> Option<Outcome> {
         match self {
             Self::Answered => Some(Outcome::Good),
--- a/src/edge/body.rs
+++ b/src/edge/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or events as they come.
+//! Body of a response to a caller: complete, or a stream of events.
 
 use std::{
     pin::Pin,
@@ -10,32 +10,32 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// A stream that ends before its last event; the caller's connection is closed without the end.
+/// A stream ended before its last event; the caller's connection is closed without the end of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the stream broke off")]
 pub(crate) struct BrokeOff;
 
-/// The sending end of a stream of events.
+/// Sending half of a stream of events.
 pub(crate) type EventSender = mpsc::Sender<Result<Bytes, BrokeOff>>;
 
-/// Events that may wait for a slow caller; beyond it the target is held up.
+/// Maximum number of events that wait for a slow caller; beyond it, no more is read from the target.
 const EVENT_QUEUE: usize = 16;
 
-/// An answer's body.
+/// Body of a response.
 pub(crate) enum AnswerBody {
-    /// All bytes at once.
+    /// Complete body.
     Whole(Full<Bytes>),
-    /// Events as they come.
+    /// Events as they arrive.
     Events(mpsc::Receiver<Result<Bytes, BrokeOff>>),
 }
 
 impl AnswerBody {
-    /// A body that is known whole.
+    /// Creates a complete body.
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Full::new(bytes.into()))
     }
 
-    /// A stream, and where its events are put in.
+    /// Creates a stream, and returns the sender of its events.
     pub(crate) fn events() -> (EventSender, Self) {
         let (tx, rx) = mpsc::channel(EVENT_QUEUE);
         (tx, Self::Events(rx))
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -1,4 +1,4 @@
-//! One call of a caller, from its head to its answer.
+//! Handling of one call, from its request head to its answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -30,22 +30,23 @@
     retry::Execution,
 };
 
-/// The largest plain answer that is read whole before it is passed on, in bytes.
+/// Maximum size of a plain (not streamed) answer, in bytes; it is read completely before it is passed on.
 const ANSWER_LIMIT: usize = 8 << 20;
 
-/// How many times the goal a plain call that may be repeated waits for its answer before another
-/// target is asked; a target's own tail is well within.
+/// Multiple of the route's latency goal that a repeatable plain call waits for its answer before it
+/// is sent to another target. The tail of a target's own latencies is well within it.
 const PATIENCE: f64 = 1.5;
 
-/// The least that any attempt waits.
+/// Minimum time that an attempt of a plain call waits for the head of its answer, if the call has that
+/// much time left.
 const LEAST_PATIENCE: Duration = Duration::from_millis(120);
 
-/// An answer cannot be given: the connection is closed instead.
+/// The caller's request ended early, so that no answer can be sent and the connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the caller's request ended early")]
 pub(crate) struct Cut;
 
-/// Answers one call.
+/// Handles one request of a caller: a page of the router itself, or a call to a target.
 pub(crate) async fn on_call(
     cx: &Rc<Gateway>,
     req: Request<Incoming>,
@@ -102,7 +103,7 @@
     owned_by: &'a str,
 }
 
-/// What this router tells of itself; the models only to whoever has a key.
+/// Answers a request for one of the router's own pages. The list of models requires a valid key.
 fn on_page(cx: &Gateway, page: Page, head: &request::Parts) -> Response<AnswerBody> {
     match page {
         Page::Alive => reply::whole(200, "text/plain", "ok\n"),
@@ -138,15 +139,15 @@
     })
 }
 
-/// Why there is no body.
+/// Reason why the body of a request could not be read.
 enum NoBody {
-    /// The caller closed before it was whole.
+    /// The caller closed the connection before the body was complete.
     Cut,
-    /// It took too long.
+    /// The body did not arrive within the time limit.
     Slow,
 }
 
-/// The whole body; `None` if it is above the limit.
+/// Reads the whole body of a request; returns `None` if it is above the size limit.
 async fn read_body(
     cx: &Gateway,
     headers: &HeaderMap,
@@ -168,11 +169,11 @@
     }
 }
 
-/// What a call came to whose answer comes whole.
+/// Result of a call whose answer is read completely before it is passed on.
 pub(crate) enum Served {
-    /// A target's answer.
+    /// A target answered.
     Answer(Whole),
-    /// None.
+    /// No target answered, and no further attempt is made.
     GaveUp(Failed),
 }
 
@@ -181,7 +182,7 @@
     respond(cx, &ending, &call, served)
 }
 
-/// The answer to a call that was served, or given up.
+/// Builds the response to a call that was served or given up.
 pub(crate) fn respond(
     cx: &Gateway,
     ending: &Ending,
@@ -194,7 +195,8 @@
     }
 }
 
-/// Serves a call whose answer comes whole.
+/// Makes attempts until a target answers or no further attempt is allowed. If the last attempt
+/// fails, an error response that a target sent earlier is returned.
 pub(crate) async fn serve(cx: &Rc<Gateway>, call: &mut Call) -> Served {
     let mut last_answer = None;
     let mut before = None;
@@ -225,7 +227,7 @@
     }
 }
 
-/// Whether another attempt follows; takes it from the budget if it counts there.
+/// Returns whether another attempt may be made, and takes it from the retry budget.
 pub(crate) fn may_repeat(cx: &Gateway, call: &Call, failed: Failed) -> bool {
     let now = cx.now();
     if failed.nowhere || now >= call.hold_until {
@@ -245,8 +247,8 @@
     taken
 }
 
-/// How long an attempt waits for its answer to begin: some times the goal where another target may
-/// be asked after it, and else as long as there is.
+/// Computes how long an attempt waits for the head of its answer: a multiple of the route's goal
+/// (but at least `least`) if another attempt may follow, and otherwise all of the time that is left.
 pub(crate) fn patience(cx: &Gateway, call: &Call, goals: f64, least: Duration) -> Duration {
     let left = call.hold_until.since(cx.now());
     let more = call.attempts.sent() + 1 < call.route.max_attempts;
@@ -256,7 +258,7 @@
     }
 }
 
-/// A target's whole answer.
+/// Head and complete body of a target's answer.
 pub(crate) type Whole = (response::Parts, Bytes);
 
 async fn read_answer(cx: &Gateway, call: &mut Call, begun: Begun) -> Result<Whole, Failed> {
@@ -289,7 +291,7 @@
     Ok((head, collected.to_bytes()))
 }
 
-/// Keeps a connection for the next call if it is still sound.
+/// Returns a connection to the pool for the next call, unless it is closed or will be closed.
 pub(crate) async fn keep(cx: &Gateway, mut conn: super::conn::Conn, facts: &AnswerFacts) {
     if facts.closing {
         return;
@@ -299,7 +301,7 @@
     }
 }
 
-/// Headers that concern one connection only.
+/// Removes the headers that apply to one connection only (hop-by-hop headers).
 pub(crate) fn strip_connection_headers(headers: &mut hyper::HeaderMap) {
     for name in [
         header::CONNECTION,
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -1,4 +1,4 @@
-//! Connections to targets: opened when needed, kept while the target keeps them.
+//! Pool of connections to targets. They are opened when needed, and reused while the target keeps them open.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,30 +16,30 @@
 
 use crate::{ids::TargetId, units::Instant};
 
-/// How long a connection may take to open. Within a data hall it takes one millisecond; an opening
-/// packet that was lost is sent again after a second, by when another target has answered.
+/// Maximum time to open a connection. Within a data hall it takes one millisecond. A lost SYN packet is
+/// sent again only after a second, by when another target has answered.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The most of a target's answer that is read ahead, in bytes.
+/// Maximum size of the read buffer of a target's connection, and so of the head of an answer, in bytes.
 const HEAD_LIMIT: usize = 64 << 10;
 
-/// How long bytes may stay unacknowledged before the system gives a connection up.
+/// Time for which sent bytes may stay unacknowledged before the operating system closes the connection.
 pub(crate) const UNACKED_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The part of a target's `Keep-Alive` time for which a resting connection is used again.
+/// Fraction of a target's `Keep-Alive` timeout for which an idle connection is used again.
 const REST_PART: f64 = 0.7;
 
-/// How long a connection rests where the target tells no time.
+/// Time for which an idle connection is used again if the target states no `Keep-Alive` timeout.
 const REST_UNTOLD: Duration = Duration::from_secs(2);
 
-/// The longest rest at first after which a connection carries a call that must not be sent twice:
-/// half of the time that targets of the users' sites tell.
+/// Initial maximum idle time after which a connection may carry a call that must not be sent twice: half of
+/// the `Keep-Alive` timeout of the targets at the users' sites.
 const CAREFUL_REST: Duration = Duration::from_secs(5);
 
-/// The least that it falls to when connections turn out to be closed without a word.
+/// Minimum to which that idle time is reduced when idle connections turn out to be closed without notice.
 const CAREFUL_REST_LEAST: Duration = Duration::from_millis(250);
 
-/// How long it takes to double again after that.
+/// Interval in which that idle time doubles again after a reduction.
 const CAREFUL_REST_DOUBLES: Duration = Duration::from_secs(15);
 
 /// One open connection; dropping it closes it.
@@ -59,7 +59,7 @@
 }
 
 impl Conn {
-    /// How long it rested before this call; `None` if it was opened for it.
+    /// Returns how long the connection was idle before this call; `None` if it was opened for the call.
     pub(crate) fn rested(&self) -> Option<Duration> {
         self.rested
     }
@@ -71,18 +71,18 @@
     until: Instant,
 }
 
-/// Why there is no connection.
+/// Reason why no connection to a target could be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoConn {
-    /// This router has as many to the target as its share allows.
+    /// This router has as many connections to the target as its share allows.
     AtLimit,
-    /// The target refused: nothing listens there.
+    /// The connection was refused: nothing listens at the address.
     Refused,
-    /// The target did not accept in time, or the way there is broken.
+    /// The target did not accept in time, or the network path to it is broken.
     Unreachable,
 }
 
-/// All connections to targets.
+/// Connections of this router to all targets, idle or in use.
 #[derive(Default)]
 pub(crate) struct ConnPool {
     resting: RefCell<HashMap<TargetId, Vec<Resting>>>,
@@ -90,7 +90,7 @@
     careful: Cell<Option<CarefulRest>>,
 }
 
-/// The longest rest for calls that must not be sent twice, since it was cut.
+/// Reduced maximum idle time for calls that must not be sent twice, and when it was reduced.
 #[derive(Debug, Clone, Copy)]
 struct CarefulRest {
     longest: Duration,
@@ -98,8 +98,8 @@
 }
 
 impl ConnPool {
-    /// A connection that rested, the one used last first. One for a call that must not be sent
-    /// twice has not rested for long.
+    /// Takes an idle connection, the most recently used one first. For a call that must not be sent twice
+    /// (`repeatable` is false), only one that has not been idle for long is taken.
     pub(crate) fn take(&self, now: Instant, target: &TargetId, repeatable: bool) -> Option<Conn> {
         let longest = match repeatable {
             true => Duration::MAX,
@@ -111,7 +111,8 @@
             let last = conns.pop()?;
             let rested = now.since(last.since);
             match () {
-                // Those below it rested even longer, and still serve calls that may be repeated.
+                // The connections below it were idle even longer. All of them can still carry calls that may
+                // be repeated.
                 () if rested > longest => {
                     conns.push(last);
                     return None;
@@ -126,7 +127,9 @@
         }
     }
 
-    /// A connection broke under a call after it had rested: others may be closed as well.
+    /// Handles a connection that broke under a call after it was idle for `rested`. Others may be closed as
+    /// well, so the maximum idle time for calls that must not be sent twice is reduced to at most half of
+    /// `rested`, but not below its minimum.
     pub(crate) fn on_broke_after(&self, now: Instant, rested: Duration) {
         let longest = self.careful_rest(now).min(rested / 2);
         self.careful.set(Some(CarefulRest {
@@ -144,7 +147,7 @@
         longest.min(CAREFUL_REST)
     }
 
-    /// Opens a connection, unless there are `limit` already.
+    /// Opens a connection, unless `limit` connections to the target are open or being opened already.
     pub(crate) async fn open(
         self: &Rc<Self>,
         target: &TargetId,
@@ -175,7 +178,8 @@
         })
     }
 
-    /// Keeps a connection whose call has ended, for as long as the target does.
+    /// Puts a connection whose call has ended into the pool. It is used again for a fraction of the target's
+    /// `Keep-Alive` timeout.
     pub(crate) fn rest(&self, now: Instant, conn: Conn, keep_alive: Option<Duration>) {
         let rest = keep_alive.map_or(REST_UNTOLD, |t| t.mul_f64(REST_PART));
         let target = conn.target.clone();
@@ -188,7 +192,7 @@
         all.entry(target).or_default().push(resting);
     }
 
-    /// Closes connections that rested long enough.
+    /// Closes idle connections whose time has run out or that the target has closed.
     pub(crate) fn on_tick(&self, now: Instant) {
         let mut over = Vec::new();
         let mut all = self.resting.borrow_mut();
@@ -201,13 +205,13 @@
         drop(over);
     }
 
-    /// Closes all resting connections to a target that is gone.
+    /// Closes all idle connections to a target that was removed.
     pub(crate) fn forget(&self, target: &TargetId) {
         let conns = self.resting.borrow_mut().remove(target);
         drop(conns);
     }
 
-    /// Connections to a target, at rest or in use.
+    /// Returns the number of connections to a target that are idle, in use or being opened.
     pub(crate) fn open_count(&self, target: &TargetId) -> usize {
         self.open.borrow().get(target).copied().unwrap_or(0)
     }
@@ -221,7 +225,7 @@
     }
 }
 
-/// Counts an opening connection until it is open or given up.
+/// Counts a connection that is being opened; if the attempt fails, dropping it takes the count back.
 struct Counted {
     pool: Rc<ConnPool>,
     target: TargetId,
@@ -244,15 +248,15 @@
         .await
         .map_err(|e| crate::Error::Protocol(e.to_string()))?;
     let task = tokio::task::spawn_local(async move {
-        // Its end reaches whoever waits for an answer on it.
+        // An error also reaches the call that waits for an answer on the connection.
         let _ = connection.await;
     });
     Ok((sender, task.abort_handle()))
 }
 
-/// The options that each connection of the gateway has.
+/// Sets the socket options of each of the gateway's connections.
 pub(crate) fn prepare(stream: &TcpStream) {
-    // Both only make things quicker; a connection without them still works.
+    // Both options only save time; a connection without them still works.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT));
 }
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -1,4 +1,4 @@
-//! How calls end: the answer that the caller gets, and the line that the log keeps of it.
+//! Ends of calls: the response that the caller gets, and the log line, metrics and trace of the call.
 
 use std::{borrow::Cow, cell::Cell, rc::Rc, time::Duration};
 
@@ -28,13 +28,14 @@
     units::Instant,
 };
 
-/// When a caller that was refused may come back; by then another router gets it.
+/// Mean delay after which a refused caller should retry, unless a better one is known. By then, the
+/// retry reaches another router.
 const COME_BACK: Duration = Duration::from_millis(100);
 
-/// Why a call is refused under whose request targets ended.
-pub(super) const HELD_BACK: &str = "targets ended while they ran this request";
+/// Error text for a call whose request is quarantined.
+pub(super) const HELD_BACK: &str = "targets crashed while they ran this request";
 
-/// Counts a call as in progress.
+/// Counts a call as in progress until it is dropped.
 struct InProgressGuard(Rc<Gateway>);
 
 impl InProgressGuard {
@@ -50,7 +51,8 @@
     }
 }
 
-/// How a call ended, for the log; a call that is dropped before its end is logged as abandoned.
+/// A call that is in progress. Its end is logged once; if it is dropped before that, the call is logged
+/// as left by its caller.
 pub(crate) struct Ending {
     cx: Rc<Gateway>,
     id: String,
@@ -62,20 +64,20 @@
     _guard: InProgressGuard,
 }
 
-/// What a call came to, for the log.
+/// How a call ended, for the log and the metrics.
 pub(crate) struct End<'a> {
-    /// The name of its code; `ok` or `target_error` with a target's answer.
+    /// Name of the result code; `ok` or `target_error` if a target answered.
     pub(crate) name: &'static str,
-    /// The number of its code; 0 with a target's answer.
+    /// Number of the result code; 0 if a target answered.
     pub(crate) number: u16,
-    /// The HTTP status.
+    /// HTTP status that the caller got; 0 if it got none.
     pub(crate) status: u16,
-    /// Why, where it was not served.
+    /// Reason why the call was not served; empty if it was.
     pub(crate) why: &'a str,
 }
 
 impl<'a> End<'a> {
-    /// An end without an answer of a target.
+    /// Creates the end of a call that failed with a result code of the router.
     pub(crate) fn coded(code: ResultCode, why: &'a str) -> Self {
         Self {
             name: code.name(),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// A target's answer was passed on.
+    /// Creates the end of a call to which a target's answer was passed on.
     pub(crate) fn answered(status: hyper::StatusCode) -> Self {
         let name = match status {
             s if s.is_success() => "ok",
@@ -101,7 +103,7 @@
 }
 
 impl Ending {
-    /// A call that has just come in.
+    /// Starts tracking a call that has just arrived.
     pub(crate) fn new(cx: &Rc<Gateway>, id: Option<&str>) -> Self {
         Self {
             cx: Rc::clone(cx),
@@ -115,12 +117,12 @@
         }
     }
 
-    /// Keeps the call's place in its account's concurrency until the end.
+    /// Keeps the call's share of its account's concurrency limit until the call ends.
     pub(crate) fn hold(&mut self, place: Option<AccountPlace>) {
         self.place = place;
     }
 
-    /// Logs the end.
+    /// Records the end of the call in the log, the metrics and the trace.
     pub(crate) fn tell(&self, end: End<'_>, attempts: Attempts) {
         self.told.set(true);
         let now = self.cx.now();
@@ -151,7 +153,7 @@
     }
 }
 
-/// Passes a target's whole answer on.
+/// Passes a target's complete answer on to the caller.
 pub(crate) fn pass_on(
     cx: &Gateway,
     ending: &Ending,
@@ -167,8 +169,8 @@
     )
 }
 
-/// Names the call on its answer, and closes the caller's connection after it if a stop was asked
-/// for.
+/// Writes the call's id to the response's headers, and has the caller's connection closed after the
+/// response if the router is stopping.
 pub(crate) fn finish(
     cx: &Gateway,
     ending: &Ending,
@@ -182,7 +184,7 @@
     res
 }
 
-/// The answer to a call that was not served, by whether it may have run.
+/// Builds the response to a call that was not served; it depends on whether the call may have run.
 pub(crate) fn give_up(
     cx: &Gateway,
     ending: &Ending,
@@ -231,7 +233,7 @@
     answer(cx, ending, code, text, come_back)
 }
 
-/// When a caller that found no room should come back.
+/// Computes after which delay a caller should retry whose call found no free capacity, and logs it.
 fn come_back(cx: &Gateway, call: &Call) -> Duration {
     let now = cx.now();
     let (service, left) = (&call.plan.service, call.hold_until.since(now));
@@ -247,7 +249,7 @@
     pause
 }
 
-/// Refuses a call before anything was sent.
+/// Refuses a call of which nothing was sent to a target.
 pub(crate) fn refuse(cx: &Gateway, ending: &Ending, refusal: Refusal) -> Response<AnswerBody> {
     let Refusal {
         code,
@@ -259,7 +261,8 @@
     answer(cx, ending, code, &why, come_back)
 }
 
-/// An answer of our own, with when to come back where that may help.
+/// Builds an error response of the router. A 429 or 503 always has a `Retry-After`; without one given,
+/// it is spread over 0.5 to 1.5 times the default.
 fn answer(
     cx: &Gateway,
     ending: &Ending,
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -1,5 +1,5 @@
-//! Attempts that broke off: finds out whether their target ended under them, and has what is held back for it
-//! entered in the store, where routers that start find it.
+//! Checks whether the target of a broken attempt has crashed, and writes quarantined requests to the store,
+//! from which routers that start read them.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -20,25 +20,26 @@
     units::Instant,
 };
 
-/// The pause before an entry that was not taken is written again.
+/// Interval between tries to write an entry that the store did not accept.
 const WRITE_AGAIN: Duration = Duration::from_millis(300);
 
-/// An attempt that broke off.
+/// An attempt whose connection or answer broke off.
 struct BrokenOff {
     call: String,
     request: Fingerprint,
 }
 
-/// Attempts that broke off at targets that are being looked at.
+/// Broken attempts, by target, while it is being checked whether the target crashed.
 #[derive(Default)]
 pub(crate) struct Endings {
     broken_off: RefCell<FxHashMap<TargetId, Vec<BrokenOff>>>,
-    /// Wakes who enters held requests in the store.
+    /// Wakes the task that writes quarantined requests to the store.
     unsaved: Notify,
 }
 
-/// An attempt broke off. Whether its target ended shows a connection that is opened to it, one for all that broke
-/// off there: a target that lives accepts it, and it is used for the next call.
+/// Handles an attempt that broke off. To find out whether the target crashed, one connection is opened to it
+/// for all attempts that broke off there: a target that is still running accepts it, and it is used for the
+/// next call.
 pub(super) fn on_broke_off(
     cx: &Rc<Gateway>,
     target: &Rc<TargetRecord>,
@@ -46,7 +47,7 @@
     request: Fingerprint,
 ) {
     let now = cx.now();
-    // A target that leaves ends anyhow.
+    // A target that is leaving stops anyway, so the break is no sign of a crash.
     let says_nothing = target.state == TargetState::Leaving
         || !cx.dispatcher.borrow().quarantine.may_suspect(now, request);
     if says_nothing {
@@ -72,7 +73,7 @@
         Ok(conn) => keep(&cx, conn),
         Err(NoConn::Refused) => on_ended(&cx, &target.id, &broken_off),
         Err(NoConn::Unreachable | NoConn::AtLimit) => {
-            info!(cx.log, "not known whether a target ended"; "target" => %target.id,
+            info!(cx.log, "not known whether a target crashed"; "target" => %target.id,
                 "calls" => broken_off.len());
         }
     }
@@ -95,16 +96,16 @@
             let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
             quarantine.on_crash(now, *request, target.into())
         };
-        info!(cx.log, "target ended under a call"; "id" => call, "fingerprint" => %request, "target" => %target,
+        info!(cx.log, "target crashed during a call"; "id" => call, "fingerprint" => %request, "target" => %target,
             "calls" => broken_off.len());
-        log_change(cx, *request, change, "targets ended here");
+        log_change(cx, *request, change, "targets crashed here");
         if change.is_some() {
             cx.endings.unsaved.notify_one();
         }
     }
 }
 
-/// A target answered a call. A request that was held back is not, now that one of its calls was answered.
+/// Handles a target's answer to a call. If its request was quarantined, the answer ends the quarantine.
 pub(super) fn on_answered(cx: &Rc<Gateway>, request: Fingerprint) {
     let now = cx.now();
     let change = {
@@ -119,12 +120,12 @@
     tokio::task::spawn_local(async move {
         cx.metrics.on_store_call("held");
         if let Err(e) = cx.store.remove(&own::quarantine_key(request)).await {
-            info!(cx.log, "entry of a held request not removed"; "fingerprint" => %request, "why" => %e);
+            info!(cx.log, "entry of a quarantined request not removed"; "fingerprint" => %request, "why" => %e);
         }
     });
 }
 
-/// A peer told of targets that ended under requests, and which requests it holds back.
+/// Handles a peer's notices of targets that crashed under requests, and of requests that it quarantined.
 pub(super) fn on_peer(
     cx: &Gateway,
     now: Instant,
@@ -138,14 +139,14 @@
     };
     let change = Some(QuarantineChange::Quarantined);
     for request in by_endings {
-        log_change(cx, request, change, "endings announced by peers");
+        log_change(cx, request, change, "crashes announced by peers");
     }
     for request in by_peer {
-        log_change(cx, request, change, "a peer holds it back");
+        log_change(cx, request, change, "a peer quarantined it");
     }
 }
 
-/// Lets through what is held back no more, and has entries written for which this router is the keeper.
+/// Releases requests whose quarantine is over, and has the entries written that this router owns.
 pub(super) fn on_tick(cx: &Gateway) {
     let now = cx.now();
     let let_through = cx.dispatcher.borrow_mut().quarantine.on_tick(now);
@@ -154,7 +155,7 @@
             cx,
             request,
             Some(QuarantineChange::Released),
-            "its time is over",
+            "its quarantine is over",
         );
     }
     let is_keeper = |request: Fingerprint| {
@@ -166,7 +167,8 @@
     }
 }
 
-/// Whether a call's request is held back, and for how long.
+/// Returns the time left of the quarantine of a call's request; `None` if it is not quarantined. The
+/// call counts as refused, which may renew the request's entry in the store.
 pub(super) fn held_back(cx: &Gateway, request: Fingerprint) -> Option<Duration> {
     let now = cx.now();
     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
@@ -178,7 +180,7 @@
     Some(held_for)
 }
 
-/// Logs that a request is held back, or no longer is.
+/// Logs that a request was quarantined or released, and updates the metric of quarantined requests.
 pub(super) fn log_change(
     cx: &Gateway,
     request: Fingerprint,
@@ -197,7 +199,7 @@
         "held_back" => held, "suspects" => dispatcher.quarantine.suspect_count());
 }
 
-/// Enters requests that are held back in the store, under leases that end with the time that they are held.
+/// Writes quarantined requests to the store, under leases as long as the quarantine.
 pub(super) async fn save(cx: Rc<Gateway>) {
     loop {
         let unsaved = cx.dispatcher.borrow().quarantine.unsaved();
--- a/src/edge/once.rs
+++ b/src/edge/once.rs
@@ -1,5 +1,5 @@
-//! Calls that must not be repeated: claimed in the store before anything is sent, and recorded or
-//! given back when they end.
+//! Calls that must not be repeated. Their key is claimed in the store before anything is sent; when the
+//! call ends, the outcome is recorded or the claim is released.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -22,16 +22,16 @@
     retry::NotRun,
 };
 
-/// How often and how slowly a claim is recorded or given back while the store does not answer.
+/// Maximum number of tries to record or release a claim in the background while the store does not answer.
 const TRIES: u32 = 8;
 
-/// The first pause between two tries; each further one is twice as long.
+/// Pause after the first try; each further pause is twice as long.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 
-/// When a caller should come back whose call is claimed by another request.
+/// Delay after which a caller should retry if its key is claimed already or the claim was not recorded.
 const COME_BACK: Duration = Duration::from_secs(1);
 
-/// Serves a call that its caller has named, unless it was claimed before.
+/// Serves a call with an idempotency key, unless the key was claimed before.
 pub(super) async fn serve_once(
     cx: &Rc<Gateway>,
     mut call: Call,
@@ -44,7 +44,7 @@
     let verdict = take_step(cx, step).await;
     if let Some(code) = verdict.refusal() {
         if verdict == ClaimVerdict::NotRecorded {
-            // The write may have taken effect all the same; nothing was sent, so it is taken back.
+            // The write may still have taken effect. Nothing was sent, so the claim is released.
             spawn_step(cx, of_kind(step, ClaimKind::Release, 0));
         }
         let refusal = Refusal {
@@ -62,7 +62,7 @@
     let served = serve(cx, &mut call).await;
     match (&served, call.attempts.not_run()) {
         (Served::Answer(answer), _) => claimed.on_done(answer.0.status.as_u16()),
-        // The caller may come back at once, so the claim is given back first.
+        // The caller may retry at once, so the claim is released before the response.
         (Served::GaveUp(_), Some(proof)) => claimed.release(proof).await,
         (Served::GaveUp(_), None) => claimed.on_done(0),
     }
@@ -88,13 +88,13 @@
     match verdict {
         ClaimVerdict::Ran(status) => format!("the call ran before, with status {status}"),
         ClaimVerdict::Running => "the call is still running".to_owned(),
-        ClaimVerdict::Unknown => "the call was sent before; nobody knows how it ended".to_owned(),
-        _ => "the claim could not be kept, so the call was not sent".to_owned(),
+        ClaimVerdict::Unknown => "the call was sent before, and its outcome is unknown".to_owned(),
+        _ => "the claim could not be recorded, so the call was not sent".to_owned(),
     }
 }
 
-/// A claim that is ours. Dropped before the call's end, as when the caller leaves, it is recorded
-/// as of unknown outcome.
+/// A claim of this router's call. If it is dropped before the call's end, for example because the caller
+/// left, the outcome is recorded as unknown.
 struct Claimed {
     cx: Rc<Gateway>,
     step: ClaimStep,
@@ -102,13 +102,13 @@
 }
 
 impl Claimed {
-    /// The call ended with this status, 0 for an unknown outcome.
+    /// Records that the call ended with this HTTP status, or 0 for an unknown outcome.
     fn on_done(&self, status: u16) {
         self.settled.set(true);
         spawn_step(&self.cx, of_kind(self.step, ClaimKind::Done, status));
     }
 
-    /// Gives the claim back; only that of a call that did not run can be.
+    /// Releases the claim, which requires the proof that the call did not run.
     async fn release(&self, _proof: NotRun) {
         self.settled.set(true);
         let step = of_kind(self.step, ClaimKind::Release, 0);
@@ -134,7 +134,7 @@
     }
 }
 
-/// Records a step in the background, again and again for a while where the store is down.
+/// Records a step in the background, with repeated tries while the store does not answer.
 fn spawn_step(cx: &Rc<Gateway>, step: ClaimStep) {
     let cx = Rc::clone(cx);
     tokio::task::spawn_local(async move {
@@ -148,7 +148,8 @@
     });
 }
 
-/// Asks the keeper of a claim's shard; where it is not reached, this router writes itself.
+/// Has the owner of a claim's shard decide and record a step. If the owner cannot be reached, or is this
+/// router, this router writes the step itself.
 async fn take_step(cx: &Rc<Gateway>, step: ClaimStep) -> ClaimVerdict {
     let shard = format!("claims/{}", step.key.shard());
     let keeper = cx.peers.borrow().owner_of(cx.now(), &shard);
@@ -157,7 +158,7 @@
             Ok(verdict) => return verdict,
             Err(e) => {
                 cx.peers.borrow_mut().on_unreachable(cx.now(), address);
-                info!(cx.log, "keeper of a claim not reached"; "id" => %step.request,
+                info!(cx.log, "owner of a claim not reached"; "id" => %step.request,
                     "keeper" => %address, "why" => %e);
             }
         }
--- a/src/edge/place.rs
+++ b/src/edge/place.rs
@@ -1,4 +1,5 @@
-//! A call's place at a target, from its choice to its end: what the end teaches, and the line that the log keeps.
+//! One attempt at a target from the choice of the target to the attempt's end, which is logged, counted
+//! and passed on to the target's health and to the quarantine of requests.
 
 use std::rc::Rc;
 
@@ -11,7 +12,8 @@
     withdrawals::Withdrawal,
 };
 
-/// A place at a target that is given back when it ends, however it ends.
+/// An attempt in progress at a target. It holds the dispatcher's ticket, and releases it when the attempt
+/// ends or when it is dropped, which counts as an abandoned attempt.
 pub(crate) struct Place {
     cx: Rc<Gateway>,
     pub(crate) ticket: Ticket,
@@ -19,14 +21,14 @@
     fingerprint: Fingerprint,
     shared_part: Option<PartId>,
     began: Instant,
-    /// What the head of its answer said of the target beside the call.
+    /// Withdrawal of the target that the head of the answer announced.
     withdrawal: Option<Withdrawal>,
     ended: bool,
     pub(crate) span: HopSpan,
 }
 
 impl Place {
-    /// The place that a call got by a ticket.
+    /// Creates the record of an attempt at the target of `ticket`.
     pub(crate) fn new(cx: &Rc<Gateway>, call: &Call, now: Instant, ticket: Ticket) -> Self {
         Self {
             cx: Rc::clone(cx),
@@ -41,24 +43,24 @@
         }
     }
 
-    /// The attempt ended in a way that tells the target's health.
+    /// Ends the attempt, and records its outcome for the target's health.
     pub(crate) fn end(mut self, end: AttemptEnd) {
         self.finish(end);
     }
 
-    /// The head of its answer came.
+    /// Handles the arrival of the answer's head.
     pub(crate) fn on_head(&mut self, facts: &AnswerFacts) {
         self.withdrawal = facts.withdrawal;
     }
 
-    /// The first event came.
+    /// Handles the first event of a stream.
     pub(crate) fn on_first_event(&mut self) {
         let now = self.cx.now();
         let mut dispatcher = self.cx.dispatcher.borrow_mut();
         dispatcher.on_first_event(now, &mut self.ticket);
     }
 
-    /// A further event came.
+    /// Handles a further event of a stream, which counts as activity of the target.
     pub(crate) fn on_event(&self) {
         let mut dispatcher = self.cx.dispatcher.borrow_mut();
         dispatcher
@@ -66,12 +68,13 @@
             .on_activity(self.cx.now(), &self.ticket.target.id);
     }
 
-    /// The target's name.
+    /// Returns the target's id.
     pub(crate) fn target(&self) -> &TargetId {
         &self.ticket.target.id
     }
 
-    /// What the end tells of the request itself.
+    /// Reports the end to the quarantine: whether the target may have crashed under the request, or
+    /// survived it.
     fn on_request(&self, end: AttemptEnd) {
         match end {
             end if end.is_break() => {
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -1,5 +1,5 @@
-//! A call whose answer comes as events: passed on as they come, gone on with elsewhere where the
-//! route allows it, each event exactly once.
+//! Calls whose answer is a stream of events. Each event is passed on once, as it arrives. If the stream
+//! breaks off, it is resumed at another target if the route allows it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,18 +22,18 @@
     units::Instant,
 };
 
-/// How many times the goal a stream that may be resumed waits for its first event before another
-/// target is asked: reading the prompt again there costs more than waiting a little.
+/// Multiple of the route's latency goal that a resumable stream waits for its first event before the
+/// call is sent to another target. Waiting a little costs less than reading the prompt again there.
 const FIRST_PATIENCE: f64 = 1.2;
 
-/// How many times the longest pause that is in time a target may be silent between events before
-/// the stream is gone on with elsewhere.
+/// Multiple of the route's goal for the pause between events that a target may be silent before the
+/// stream is resumed at another target.
 const GAP_PATIENCE: f64 = 2.0;
 
-/// The least time that a silent target gets.
+/// Minimum time that a target may be silent, before the first event and between events.
 const LEAST_PATIENCE: Duration = Duration::from_millis(600);
 
-/// Events of one target, in order and whole.
+/// Reads one target's stream, as complete events in order.
 struct Source {
     body: Incoming,
     splitter: EventSplitter,
@@ -42,12 +42,12 @@
     facts: crate::dialect::AnswerFacts,
 }
 
-/// What comes next from a target.
+/// Next item of a target's stream.
 enum Next {
     Event(Event),
     /// The answer is complete.
     End,
-    /// It broke off, or was silent for too long.
+    /// The stream broke off, or the target was silent for too long.
     Broken(AttemptEnd),
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Serves a call for a stream.
+/// Serves a call whose answer is a stream.
 pub(super) async fn serve(
     cx: &Rc<Gateway>,
     mut call: Call,
@@ -100,15 +100,15 @@
     }
 }
 
-/// How a target's answer began.
+/// Start of a target's answer.
 enum Beginning {
-    /// With an event; more follow.
+    /// The first event has arrived, and more follow.
     Stream(response::Parts, Box<Source>, Event),
-    /// It is complete: a failure of the target's own, or a stream without events.
+    /// The answer is complete: an error response of the target, or a stream without events.
     Whole(response::Parts, bytes::Bytes),
 }
 
-/// Makes attempts until one brings its first event.
+/// Makes one attempt and waits for its first event.
 async fn begin(cx: &Rc<Gateway>, call: &mut Call) -> Result<Beginning, Failed> {
     let patience = patience(cx, call, FIRST_PATIENCE, LEAST_PATIENCE);
     let until = (cx.now() + patience).min(call.hold_until);
@@ -159,7 +159,8 @@
     }
 }
 
-/// A target's own failure, read whole; repeated elsewhere where that is allowed.
+/// Reads the body of a response that is not a success. A server error fails the attempt if the call may
+/// be sent to another target.
 async fn whole_failure(
     cx: &Gateway,
     call: &mut Call,
@@ -198,7 +199,7 @@
     }
 }
 
-/// The next event that the caller does not have.
+/// Returns the next event that the caller does not have yet.
 async fn next_new(cx: &Gateway, source: &mut Source, last: Option<u64>, until: Instant) -> Next {
     loop {
         match source.next(cx, until).await {
@@ -208,7 +209,7 @@
     }
 }
 
-/// Sends the head, and goes on passing events in a task of its own.
+/// Returns the response with its head, and passes events on in a separate task.
 fn relay(
     cx: &Rc<Gateway>,
     call: Call,
@@ -273,7 +274,7 @@
                         ..End::coded(ResultCode::Incomplete, failed.end.name())
                     };
                     ending.tell(end, call.attempts);
-                    // The caller may be gone as well; then nobody needs the end.
+                    // If the caller has left as well, sending fails, and nothing more has to be done.
                     let _ = tx.send(Err(BrokeOff)).await;
                     return;
                 }
@@ -282,7 +283,7 @@
     }
 }
 
-/// Goes on at another target after the last event that the caller has.
+/// Resumes the stream at another target after the last event that the caller has.
 async fn go_on(
     cx: &Rc<Gateway>,
     call: &mut Call,
@@ -290,7 +291,7 @@
     end: AttemptEnd,
 ) -> Result<(Source, Event), Failed> {
     broken.place.end(end);
-    // The connection is closed before the next attempt, so that the first target stops.
+    // The connection is closed before the next attempt, so that the first target stops its run.
     drop(broken.conn);
     call.attempts.on_attempt_end(Execution::MayHaveRun);
     let mut failed = Failed {
@@ -314,7 +315,7 @@
     Err(failed)
 }
 
-/// Whether an event of another run may come right after the last one.
+/// Returns whether an event of another run may directly follow the last one.
 fn follows(last: Option<u64>, event: &Event) -> bool {
     match (last, event.id) {
         (Some(last), Some(id)) => id > last,
