--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -41,36 +41,36 @@
 }
 
 /// Waits for the first configuration if the router has just started and one is expected soon.
-pub(crate) async fn await_config(cx: &Gateway, arrived: &Arrived) {
+pub(crate) async fn await_config(cx: &Gateway, incoming_call: &Arrived) {
     if cx.serving().is_some() {
         return;
     }
     let arrival = cx.config_arrived.notified();
-    let wait = wait_for_config(cx.now().0, deadline(cx, arrived));
+    let wait = wait_for_config(cx.now().0, deadline(cx, incoming_call));
     let Some(wait) = wait else {
         return;
     };
     let until = cx.now() + wait;
-    let came = cx.clock.timeout_at(until, arrival).await.is_some();
-    info!(cx.log, "waited for a configuration"; "id" => arrived.id.as_deref(), "came" => came,
-        "waited_ms" => cx.now().since(arrived.received).as_millis() as u64);
+    let has_arrived = cx.clock.timeout_at(until, arrival).await.is_some();
+    info!(cx.log, "waited for a configuration"; "id" => incoming_call.id.as_deref(), "came" => has_arrived,
+        "waited_ms" => cx.now().since(incoming_call.received).as_millis() as u64);
 }
 
 /// Returns how long the caller waits for the answer in total, if the call states it.
-fn deadline(cx: &Gateway, arrived: &Arrived) -> Option<Duration> {
-    let body = arrived.body.as_ref()?;
+fn deadline(cx: &Gateway, incoming_call: &Arrived) -> Option<Duration> {
+    let body = incoming_call.body.as_ref()?;
     let facts = cx
         .dialect
-        .read_call(&arrived.head, body, arrived.id.as_deref());
+        .read_call(&incoming_call.head, body, incoming_call.id.as_deref());
     facts.ok()?.deadline
 }
 
 /// Builds the refusal of a call that arrives while the router has no configuration.
-fn no_config(cx: &Gateway, arrived: &Arrived) -> Refusal {
-    let left = deadline(cx, arrived).unwrap_or(USUAL_PATIENCE);
+fn no_config(cx: &Gateway, incoming_call: &Arrived) -> Refusal {
+    let time_left = deadline(cx, incoming_call).unwrap_or(USUAL_PATIENCE);
     let dispatcher = cx.dispatcher.borrow();
     let age = cx.now().0;
-    let come_back = (dispatcher.admission).retry_after_startup(age, left, rand::random());
+    let come_back = (dispatcher.admission).retry_after_startup(age, time_left, rand::random());
     Refusal {
         come_back: Some(come_back),
         ..Refusal::new(ResultCode::NoConfig, "no configuration yet")
@@ -84,16 +84,16 @@
 /// Admits a call, or returns why it is refused. Records the request's fingerprint in `ending`.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
-    arrived: Arrived,
+    incoming_call: Arrived,
     ending: &mut Ending,
 ) -> Result<(Call, Option<AccountPlace>), Refusal> {
-    let config = cx.serving().ok_or_else(|| no_config(cx, &arrived))?;
+    let config = cx.serving().ok_or_else(|| no_config(cx, &incoming_call))?;
     let Arrived {
         head,
         body,
         id,
         received,
-    } = arrived;
+    } = incoming_call;
     let too_large = Refusal::new(ResultCode::BodyTooLarge, "body above the limit");
     let body = body.ok_or(too_large)?;
     let facts = cx.dialect.read_call(&head, &body, id.as_deref())?;
@@ -117,14 +117,14 @@
     let account = holder.as_ref().map(|h| &h.account);
     let fingerprint = fingerprint(&head, &body, &facts, account);
     ending.fingerprint = Some(fingerprint);
-    if let Some(held_for) = endings::held_back(cx, fingerprint) {
+    if let Some(time_left) = endings::held_back(cx, fingerprint) {
         return Err(Refusal {
-            come_back: Some(held_for),
+            come_back: Some(time_left),
             ..Refusal::new(ResultCode::HeldBack, HELD_BACK)
         });
     }
     let place = accounts::admit(cx, holder.as_ref())
-        .map_err(|pause| over_limit(cx, id.as_deref(), pause))?;
+        .map_err(|retry_after| over_limit(cx, id.as_deref(), retry_after))?;
     let hash = xxh3_64(id.as_deref().unwrap_or_default().as_bytes());
     let service = route.service_for(hash).cloned();
     let no_service = Refusal::new(ResultCode::NoTarget, "no service on the route");
@@ -149,7 +149,7 @@
         chat: chat_within(&facts, holder.as_ref()),
         answer: engine
             .and_then(|e| e.expected_response)
-            .map_or(Tokens(0), |usual| facts.answer.unwrap_or(usual)),
+            .map_or(Tokens(0), |expected| facts.answer.unwrap_or(expected)),
         hash,
         engine,
         surge,
@@ -183,13 +183,13 @@
     facts: &CallFacts,
     account: Option<&ClientAccountId>,
 ) -> Fingerprint {
-    let asked = &facts.asked;
-    let whole = head.uri.path_and_query().map(PathAndQuery::as_str);
+    let routing_key = &facts.asked;
+    let path_and_query = head.uri.path_and_query().map(PathAndQuery::as_str);
     Fingerprint::of(&FingerprintInput {
         account,
-        host: &asked.host,
-        method: &asked.method,
-        path: whole.unwrap_or(&asked.path),
+        host: &routing_key.host,
+        method: &routing_key.method,
+        path: path_and_query.unwrap_or(&routing_key.path),
         body,
     })
 }
@@ -212,17 +212,19 @@
 /// Returns the call's urgency: the account's rank, or the route's if the account has none or the
 /// route's calls are claimed. The caller can only lower it.
 fn rank(facts: &CallFacts, route: &Route, holder: Option<&KeyOwner>) -> Rank {
-    let own = holder.and_then(|h| h.rank).unwrap_or(route.rank);
-    let own = if route.claimed { route.rank } else { own };
-    facts.rank.map_or(own, |asked| asked.max(own))
+    let default = holder.and_then(|h| h.rank).unwrap_or(route.rank);
+    let default = if route.claimed { route.rank } else { default };
+    facts
+        .rank
+        .map_or(default, |requested| requested.max(default))
 }
 
-fn over_limit(cx: &Gateway, id: Option<&str>, pause: Duration) -> Refusal {
+fn over_limit(cx: &Gateway, id: Option<&str>, retry_after: Duration) -> Refusal {
     info!(cx.log, "account over its limit"; "id" => id,
-        "come_back_ms" => pause.as_millis() as u64);
+        "come_back_ms" => retry_after.as_millis() as u64);
     Refusal {
         why: Cow::Borrowed("the account's limit is reached"),
-        come_back: Some(pause),
+        come_back: Some(retry_after),
         ..Refusal::new(ResultCode::AccountLimit, "")
     }
 }
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -68,12 +68,12 @@
     /// prefix.
     fn handed_uri(&self) -> Uri {
         let uri = &self.head.uri;
-        let hidden = self.route.stripped_prefix.as_str();
-        let shown = uri
+        let prefix = self.route.stripped_prefix.as_str();
+        let stripped = uri
             .path_and_query()
-            .and_then(|p| p.as_str().strip_prefix(hidden));
-        let shown = shown.filter(|_| !hidden.is_empty());
-        shown
+            .and_then(|p| p.as_str().strip_prefix(prefix));
+        let stripped = stripped.filter(|_| !prefix.is_empty());
+        stripped
             .and_then(|path| path.parse().ok())
             .unwrap_or_else(|| uri.clone())
     }
@@ -101,11 +101,11 @@
 }
 
 impl Failed {
-    /// Returns the failure to report for the call: the earlier attempt's failure `before`, if this
+    /// Returns the failure to report for the call: the earlier attempt's failure `previous`, if this
     /// attempt ended with no further attempt possible, and this one otherwise.
-    pub(crate) fn after(self, before: Option<Self>) -> Self {
-        match before {
-            Some(before) if self.nowhere => before,
+    pub(crate) fn after(self, previous: Option<Self>) -> Self {
+        match previous {
+            Some(previous) if self.nowhere => previous,
             _ => self,
         }
     }
@@ -135,18 +135,18 @@
     }
 }
 
-/// Makes one attempt, and waits at most `patience` for the head of the answer.
+/// Makes one attempt, and waits at most `timeout` for the head of the answer.
 pub(crate) async fn attempt(
     cx: &Rc<Gateway>,
     call: &mut Call,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Begun, Failed> {
     let (place, conn) = connect(cx, call).await?;
-    let failed_fate = send(cx, call, place, conn, patience).await;
-    if let Err(failed) = &failed_fate {
+    let result = send(cx, call, place, conn, timeout).await;
+    if let Err(failed) = &result {
         call.attempts.on_attempt_end(failed.fate);
     }
-    failed_fate
+    result
 }
 
 /// Chooses a target and gets a connection to it. Targets that cannot be reached are skipped.
@@ -162,7 +162,7 @@
             return Err(Failed::nowhere(AttemptEnd::HeldBack));
         }
         let chosen = cx.dispatcher.borrow_mut().choose(now, &call.plan);
-        let ticket = chosen.map_err(|no| match no {
+        let ticket = chosen.map_err(|e| match e {
             PlacementError::NoTarget => Failed::nowhere(AttemptEnd::NoTarget),
             PlacementError::AllFull => Failed::nowhere(AttemptEnd::AllFull),
             PlacementError::AllCold => Failed::nowhere(AttemptEnd::AllCold),
@@ -206,11 +206,11 @@
     call: &mut Call,
     mut place: Place,
     mut conn: Conn,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Begun, Failed> {
     let now = cx.now();
     let req = request(cx, call, now, &place.ticket, &place.span);
-    let until = (now + patience).min(call.hold_until);
+    let until = (now + timeout).min(call.hold_until);
     call.attempts.on_sent();
     let sent = conn.sender.try_send_request(req);
     let answer = cx.clock.timeout_at(until, sent).await;
@@ -281,9 +281,9 @@
 fn judge(cx: &Gateway, call: &Call, begun: Begun) -> Result<Begun, Failed> {
     let facts = &begun.facts;
     let status = begun.head.status;
-    let other = facts.id.is_some() && facts.id != call.id;
+    let is_other_call = facts.id.is_some() && facts.id != call.id;
     match () {
-        () if other => {
+        () if is_other_call => {
             begun.place.end(AttemptEnd::AnotherAnswer);
             Err(Failed::may_have_run(AttemptEnd::AnotherAnswer))
         }
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -52,7 +52,7 @@
     req: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Cut> {
     let received = cx.now();
-    let (head, incoming) = req.into_parts();
+    let (head, body_stream) = req.into_parts();
     let id = cx.dialect.call_id(&head.headers);
     if let Some(page) = cx.dialect.page(&head) {
         let mut res = on_page(cx, page, &head);
@@ -61,7 +61,7 @@
         return Ok(res);
     }
     let mut ending = Ending::new(cx, id.as_deref());
-    let body = match read_body(cx, &head.headers, incoming).await {
+    let body = match read_body(cx, &head.headers, body_stream).await {
         Ok(body) => body,
         Err(NoBody::Cut) => return Err(Cut),
         Err(NoBody::Slow) => {
@@ -69,14 +69,14 @@
             return Ok(refuse(cx, &ending, refusal));
         }
     };
-    let arrived = Arrived {
+    let incoming_call = Arrived {
         head,
         body,
         id,
         received,
     };
-    await_config(cx, &arrived).await;
-    let (call, place) = match admit(cx, arrived, &mut ending) {
+    await_config(cx, &incoming_call).await;
+    let (call, place) = match admit(cx, incoming_call, &mut ending) {
         Ok(admitted) => admitted,
         Err(refusal) => return Ok(refuse(cx, &ending, refusal)),
     };
@@ -113,8 +113,8 @@
             let facts = cx.dialect.read_call(head, &Bytes::new(), None);
             let key = facts.ok().and_then(|f| f.key);
             let config = cx.serving();
-            let holds = |key: &str| config.as_ref().is_some_and(|c| c.key_owner(key).is_some());
-            match key.as_deref().is_some_and(holds) {
+            let is_known = |key: &str| config.as_ref().is_some_and(|c| c.key_owner(key).is_some());
+            match key.as_deref().is_some_and(is_known) {
                 true => models(cx),
                 false => reply::error(ResultCode::WrongKey, "no such key"),
             }
@@ -151,15 +151,15 @@
 async fn read_body(
     cx: &Gateway,
     headers: &HeaderMap,
-    incoming: Incoming,
+    body_stream: Incoming,
 ) -> Result<Option<Bytes>, NoBody> {
     let limits = cx.caller_limits();
-    let told = headers.get(header::CONTENT_LENGTH);
-    let told = told.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-    if told.is_some_and(|n| n > limits.body_bytes) {
+    let content_length = headers.get(header::CONTENT_LENGTH);
+    let content_length = content_length.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
+    if content_length.is_some_and(|n| n > limits.body_bytes) {
         return Ok(None);
     }
-    let reading = Limited::new(incoming, limits.body_bytes).collect();
+    let reading = Limited::new(body_stream, limits.body_bytes).collect();
     let until = cx.now() + limits.body_timeout;
     match cx.clock.timeout_at(until, reading).await {
         Some(Ok(body)) => Ok(Some(body.to_bytes())),
@@ -199,10 +199,10 @@
 /// fails, an error response that a target sent earlier is returned.
 pub(crate) async fn serve(cx: &Rc<Gateway>, call: &mut Call) -> Served {
     let mut last_answer = None;
-    let mut before = None;
+    let mut previous = None;
     loop {
-        let patience = patience(cx, call, PATIENCE, LEAST_PATIENCE);
-        let failed = match attempt(cx, call, patience).await {
+        let timeout = patience(cx, call, PATIENCE, LEAST_PATIENCE);
+        let failed = match attempt(cx, call, timeout).await {
             Ok(begun) => match read_answer(cx, call, begun).await {
                 Ok(answer) if answer.0.status.is_server_error() => {
                     last_answer = Some(answer);
@@ -220,10 +220,10 @@
         if !may_repeat(cx, call, failed) {
             return match last_answer {
                 Some(answer) => Served::Answer(answer),
-                None => Served::GaveUp(failed.after(before)),
+                None => Served::GaveUp(failed.after(previous)),
             };
         }
-        before = Some(failed);
+        previous = Some(failed);
     }
 }
 
@@ -248,13 +248,18 @@
 }
 
 /// Computes how long an attempt waits for the head of its answer: a multiple of the route's goal
-/// (but at least `least`) if another attempt may follow, and otherwise all of the time that is left.
-pub(crate) fn patience(cx: &Gateway, call: &Call, goals: f64, least: Duration) -> Duration {
-    let left = call.hold_until.since(cx.now());
-    let more = call.attempts.sent() + 1 < call.route.max_attempts;
-    match call.route.kind.is_repeatable() && more {
-        true => call.route.goal.mul_f64(goals).max(least).min(left),
-        false => left,
+/// (but at least `minimum`) if another attempt may follow, and otherwise all of the time that is left.
+pub(crate) fn patience(cx: &Gateway, call: &Call, goal_factor: f64, minimum: Duration) -> Duration {
+    let time_left = call.hold_until.since(cx.now());
+    let may_follow = call.attempts.sent() + 1 < call.route.max_attempts;
+    match call.route.kind.is_repeatable() && may_follow {
+        true => call
+            .route
+            .goal
+            .mul_f64(goal_factor)
+            .max(minimum)
+            .min(time_left),
+        false => time_left,
     }
 }
 
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -101,25 +101,25 @@
     /// Takes an idle connection, the most recently used one first. For a call that must not be sent twice
     /// (`repeatable` is false), only one that has not been idle for long is taken.
     pub(crate) fn take(&self, now: Instant, target: &TargetId, repeatable: bool) -> Option<Conn> {
-        let longest = match repeatable {
+        let max_idle = match repeatable {
             true => Duration::MAX,
             false => self.careful_rest(now),
         };
         let mut all = self.resting.borrow_mut();
         let conns = all.get_mut(target)?;
         loop {
-            let last = conns.pop()?;
-            let rested = now.since(last.since);
+            let latest = conns.pop()?;
+            let idle_time = now.since(latest.since);
             match () {
                 // The connections below it were idle even longer. All of them can still carry calls that may
                 // be repeated.
-                () if rested > longest => {
-                    conns.push(last);
+                () if idle_time > max_idle => {
+                    conns.push(latest);
                     return None;
                 }
-                () if last.conn.sender.is_ready() && now < last.until => {
-                    let mut conn = last.conn;
-                    conn.rested = Some(rested);
+                () if latest.conn.sender.is_ready() && now < latest.until => {
+                    let mut conn = latest.conn;
+                    conn.rested = Some(idle_time);
                     return Some(conn);
                 }
                 () => {}
@@ -127,11 +127,11 @@
         }
     }
 
-    /// Handles a connection that broke under a call after it was idle for `rested`. Others may be closed as
+    /// Handles a connection that broke under a call after it was idle for `idle_time`. Others may be closed as
     /// well, so the maximum idle time for calls that must not be sent twice is reduced to at most half of
-    /// `rested`, but not below its minimum.
-    pub(crate) fn on_broke_after(&self, now: Instant, rested: Duration) {
-        let longest = self.careful_rest(now).min(rested / 2);
+    /// `idle_time`, but not below its minimum.
+    pub(crate) fn on_broke_after(&self, now: Instant, idle_time: Duration) {
+        let longest = self.careful_rest(now).min(idle_time / 2);
         self.careful.set(Some(CarefulRest {
             longest: longest.max(CAREFUL_REST_LEAST),
             since: now,
@@ -139,11 +139,11 @@
     }
 
     fn careful_rest(&self, now: Instant) -> Duration {
-        let Some(careful) = self.careful.get() else {
+        let Some(reduced) = self.careful.get() else {
             return CAREFUL_REST;
         };
-        let doublings = now.since(careful.since).as_secs() / CAREFUL_REST_DOUBLES.as_secs();
-        let longest = careful.longest * 2u32.saturating_pow(doublings.min(16) as u32);
+        let doublings = now.since(reduced.since).as_secs() / CAREFUL_REST_DOUBLES.as_secs();
+        let longest = reduced.longest * 2u32.saturating_pow(doublings.min(16) as u32);
         longest.min(CAREFUL_REST)
     }
 
@@ -181,28 +181,28 @@
     /// Puts a connection whose call has ended into the pool. It is used again for a fraction of the target's
     /// `Keep-Alive` timeout.
     pub(crate) fn rest(&self, now: Instant, conn: Conn, keep_alive: Option<Duration>) {
-        let rest = keep_alive.map_or(REST_UNTOLD, |t| t.mul_f64(REST_PART));
+        let idle_limit = keep_alive.map_or(REST_UNTOLD, |t| t.mul_f64(REST_PART));
         let target = conn.target.clone();
-        let resting = Resting {
+        let idle_conn = Resting {
             conn,
             since: now,
-            until: now + rest,
+            until: now + idle_limit,
         };
         let mut all = self.resting.borrow_mut();
-        all.entry(target).or_default().push(resting);
+        all.entry(target).or_default().push(idle_conn);
     }
 
     /// Closes idle connections whose time has run out or that the target has closed.
     pub(crate) fn on_tick(&self, now: Instant) {
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         let mut all = self.resting.borrow_mut();
         for conns in all.values_mut() {
             let usable = |r: &Resting| now < r.until && !r.conn.sender.is_closed();
-            over.extend(conns.extract_if(.., |r| !usable(r)));
+            expired.extend(conns.extract_if(.., |r| !usable(r)));
         }
         all.retain(|_, conns| !conns.is_empty());
         drop(all);
-        drop(over);
+        drop(expired);
     }
 
     /// Closes all idle connections to a target that was removed.
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -220,12 +220,12 @@
         end => (ResultCode::NoTarget, end.name()),
     };
     ending.tell(End::coded(code, failed.end.name()), call.attempts);
-    let no_room = matches!(code, ResultCode::Overloaded | ResultCode::TargetRefused);
+    let no_capacity = matches!(code, ResultCode::Overloaded | ResultCode::TargetRefused);
     let none_left = matches!(
         failed.end,
         AttemptEnd::AllEvacuated | AttemptEnd::AllLeaving
     );
-    let is_shortage = no_room || none_left;
+    let is_shortage = no_capacity || none_left;
     let come_back = match failed.end {
         AttemptEnd::HeldBack => endings::held_back(cx, call.fingerprint),
         _ => is_shortage.then(|| come_back(cx, call)),
@@ -236,17 +236,17 @@
 /// Computes after which delay a caller should retry whose call found no free capacity, and logs it.
 fn come_back(cx: &Gateway, call: &Call) -> Duration {
     let now = cx.now();
-    let (service, left) = (&call.plan.service, call.hold_until.since(now));
+    let (service, time_left) = (&call.plan.service, call.hold_until.since(now));
     let dispatcher = cx.dispatcher.borrow();
-    let pause = dispatcher.retry_after(now, service, left, rand::random());
-    cx.metrics.on_no_room(pause);
-    let room = dispatcher.admission.capacity_estimate(now, service);
+    let retry_after = dispatcher.retry_after(now, service, time_left, rand::random());
+    cx.metrics.on_no_room(retry_after);
+    let capacity = dispatcher.admission.capacity_estimate(now, service);
     let backoff = dispatcher.backoff_remaining(now, service);
     let ms = |d: Duration| d.as_millis() as u64;
     info!(cx.log, "no room"; "id" => call.id(), "service" => %service,
-        "short_for_ms" => room.shortage_age.map(ms), "slot_held_ms" => room.slot_time.map(ms), "backoff_ms" => backoff.map(ms),
-        "account_surges" => call.plan.surge.is_surging(), "left_ms" => ms(left), "come_back_ms" => ms(pause));
-    pause
+        "short_for_ms" => capacity.shortage_age.map(ms), "slot_held_ms" => capacity.slot_time.map(ms), "backoff_ms" => backoff.map(ms),
+        "account_surges" => call.plan.surge.is_surging(), "left_ms" => ms(time_left), "come_back_ms" => ms(retry_after));
+    retry_after
 }
 
 /// Refuses a call of which nothing was sent to a target.
@@ -268,17 +268,17 @@
     ending: &Ending,
     code: ResultCode,
     why: &str,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Response<AnswerBody> {
     let mut res = reply::error(code, why);
-    let usual = || COME_BACK.mul_f64(rand::random_range(0.5..1.5));
-    let pause = match code.status() {
-        429 | 503 => Some(come_back.unwrap_or_else(usual)),
-        _ => come_back,
+    let default_delay = || COME_BACK.mul_f64(rand::random_range(0.5..1.5));
+    let header_value = match code.status() {
+        429 | 503 => Some(retry_after.unwrap_or_else(default_delay)),
+        _ => retry_after,
     };
-    let pause = pause.map(|p| HeaderValue::from_str(&cx.dialect.retry_after(p)));
-    if let Some(Ok(pause)) = pause {
-        res.headers_mut().insert(header::RETRY_AFTER, pause);
+    let header_value = header_value.map(|p| HeaderValue::from_str(&cx.dialect.retry_after(p)));
+    if let Some(Ok(header_value)) = header_value {
+        res.headers_mut().insert(header::RETRY_AFTER, header_value);
     }
     finish(cx, ending, res)
 }
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -48,9 +48,9 @@
 ) {
     let now = cx.now();
     // A target that is leaving stops anyway, so the break is no sign of a crash.
-    let says_nothing = target.state == TargetState::Leaving
+    let is_irrelevant = target.state == TargetState::Leaving
         || !cx.dispatcher.borrow().quarantine.may_suspect(now, request);
-    if says_nothing {
+    if is_irrelevant {
         return;
     }
     let mut broken_off = cx.endings.broken_off.borrow_mut();
@@ -129,16 +129,19 @@
 pub(super) fn on_peer(
     cx: &Gateway,
     now: Instant,
-    ended: &[CrashNotice],
-    held: &[QuarantineNotice],
+    crashes: &[CrashNotice],
+    quarantined: &[QuarantineNotice],
 ) {
-    let (by_endings, by_peer) = {
+    let (by_crashes, by_peer) = {
         let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
-        let by_endings = quarantine.on_crash_notices(now, ended);
-        (by_endings, quarantine.on_quarantine_notices(now, held))
+        let by_crashes = quarantine.on_crash_notices(now, crashes);
+        (
+            by_crashes,
+            quarantine.on_quarantine_notices(now, quarantined),
+        )
     };
     let change = Some(QuarantineChange::Quarantined);
-    for request in by_endings {
+    for request in by_crashes {
         log_change(cx, request, change, "crashes announced by peers");
     }
     for request in by_peer {
@@ -149,8 +152,8 @@
 /// Releases requests whose quarantine is over, and has the entries written that this router owns.
 pub(super) fn on_tick(cx: &Gateway) {
     let now = cx.now();
-    let let_through = cx.dispatcher.borrow_mut().quarantine.on_tick(now);
-    for request in let_through {
+    let released = cx.dispatcher.borrow_mut().quarantine.on_tick(now);
+    for request in released {
         log_change(
             cx,
             request,
@@ -158,11 +161,11 @@
             "its quarantine is over",
         );
     }
-    let is_keeper = |request: Fingerprint| {
+    let is_owner = |request: Fingerprint| {
         let peers = cx.peers.borrow();
         peers.is_owner_of(now, &request.to_string())
     };
-    if (cx.dispatcher.borrow_mut().quarantine).mark_unsaved(is_keeper) {
+    if (cx.dispatcher.borrow_mut().quarantine).mark_unsaved(is_owner) {
         cx.endings.unsaved.notify_one();
     }
 }
@@ -172,12 +175,12 @@
 pub(super) fn held_back(cx: &Gateway, request: Fingerprint) -> Option<Duration> {
     let now = cx.now();
     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
-    let held_for = quarantine.time_left(now, request)?;
+    let time_left = quarantine.time_left(now, request)?;
     quarantine.on_refused(now, request);
     if !quarantine.unsaved().is_empty() {
         cx.endings.unsaved.notify_one();
     }
-    Some(held_for)
+    Some(time_left)
 }
 
 /// Logs that a request was quarantined or released, and updates the metric of quarantined requests.
@@ -187,16 +190,16 @@
     change: Option<QuarantineChange>,
     why: &str,
 ) {
-    let verdict = match change {
+    let outcome = match change {
         None => return,
         Some(QuarantineChange::Quarantined) => "held back",
         Some(QuarantineChange::Released) => "let through",
     };
     let dispatcher = cx.dispatcher.borrow();
-    let held = dispatcher.quarantine.quarantined(cx.now()).count();
-    cx.metrics.held_requests.set(held as i64);
-    info!(cx.log, "request"; "fingerprint" => %request, "verdict" => verdict, "why" => why,
-        "held_back" => held, "suspects" => dispatcher.quarantine.suspect_count());
+    let quarantined = dispatcher.quarantine.quarantined(cx.now()).count();
+    cx.metrics.held_requests.set(quarantined as i64);
+    info!(cx.log, "request"; "fingerprint" => %request, "verdict" => outcome, "why" => why,
+        "held_back" => quarantined, "suspects" => dispatcher.quarantine.suspect_count());
 }
 
 /// Writes quarantined requests to the store, under leases as long as the quarantine.
@@ -210,8 +213,8 @@
         for request in unsaved {
             cx.metrics.on_store_call("held");
             let key = own::quarantine_key(request);
-            let by = cx.cfg.vm.to_string().into_bytes();
-            match cx.store.put_with_ttl(&key, by, QUARANTINE_DURATION).await {
+            let vm = cx.cfg.vm.to_string().into_bytes();
+            match cx.store.put_with_ttl(&key, vm, QUARANTINE_DURATION).await {
                 Ok(()) => {
                     let now = cx.now();
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
--- a/src/edge/once.rs
+++ b/src/edge/once.rs
@@ -72,12 +72,12 @@
 fn first_step(call: &Call) -> Result<ClaimStep, Refusal> {
     let missing = "this call must not be repeated: send an Idempotency-Key";
     let missing = Refusal::new(ResultCode::MissingIdempotencyKey, missing);
-    let named = call.facts.claim.as_deref().ok_or(missing)?;
+    let idempotency_key = call.facts.claim.as_deref().ok_or(missing)?;
     let internal = || Refusal::new(ResultCode::Internal, "a call without an account or an id");
     let holder = call.holder.as_ref().ok_or_else(internal)?;
     let request: RequestId = call.id().parse().map_err(|_| internal())?;
     Ok(ClaimStep {
-        key: ClaimKey::new(&holder.account, call.plan.service.as_str(), named),
+        key: ClaimKey::new(&holder.account, call.plan.service.as_str(), idempotency_key),
         request,
         kind: ClaimKind::Claim,
         outcome: 0,
@@ -152,8 +152,8 @@
 /// router, this router writes the step itself.
 async fn take_step(cx: &Rc<Gateway>, step: ClaimStep) -> ClaimVerdict {
     let shard = format!("claims/{}", step.key.shard());
-    let keeper = cx.peers.borrow().owner_of(cx.now(), &shard);
-    if let Some(address) = keeper {
+    let owner = cx.peers.borrow().owner_of(cx.now(), &shard);
+    if let Some(address) = owner {
         match peer_calls::claim(cx, address, step).await {
             Ok(verdict) => return verdict,
             Err(e) => {
--- a/src/edge/place.rs
+++ b/src/edge/place.rs
@@ -89,7 +89,7 @@
         let (outcome, why) = (end.outcome(), end.name());
         self.ended = true;
         let now = self.cx.now();
-        let standing = {
+        let new_status = {
             let mut dispatcher = self.cx.dispatcher.borrow_mut();
             dispatcher.on_end(now, &self.ticket, outcome)
         };
@@ -115,8 +115,8 @@
             "withdrawal" => self.withdrawal.map(Withdrawal::name), "backoff_ms" => self.withdrawal.and_then(Withdrawal::backoff).map(|b| b.as_millis() as u64),
             "began_ms" => self.began.0.as_millis() as u64,
             "standing" => ?self.ticket.health_status, "warmth" => ?self.ticket.warmth);
-        if let Some(standing) = standing {
-            info!(log, "standing"; "target" => %target, "standing" => ?standing, "id" => &self.id, "why" => why);
+        if let Some(new_status) = new_status {
+            info!(log, "standing"; "target" => %target, "standing" => ?new_status, "id" => &self.id, "why" => why);
         }
     }
 }
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -82,7 +82,7 @@
     mut call: Call,
     ending: Ending,
 ) -> Response<AnswerBody> {
-    let mut before = None;
+    let mut previous = None;
     loop {
         let failed = match begin(cx, &mut call).await {
             Ok(Beginning::Stream(head, source, first)) => {
@@ -94,9 +94,9 @@
             Err(failed) => failed,
         };
         if !may_repeat(cx, &call, failed) {
-            return give_up(cx, &ending, &call, failed.after(before));
+            return give_up(cx, &ending, &call, failed.after(previous));
         }
-        before = Some(failed);
+        previous = Some(failed);
     }
 }
 
@@ -110,9 +110,9 @@
 
 /// Makes one attempt and waits for its first event.
 async fn begin(cx: &Rc<Gateway>, call: &mut Call) -> Result<Beginning, Failed> {
-    let patience = patience(cx, call, FIRST_PATIENCE, LEAST_PATIENCE);
-    let until = (cx.now() + patience).min(call.hold_until);
-    let begun = attempt(cx, call, patience).await?;
+    let timeout = patience(cx, call, FIRST_PATIENCE, LEAST_PATIENCE);
+    let until = (cx.now() + timeout).min(call.hold_until);
+    let begun = attempt(cx, call, timeout).await?;
     let Begun {
         mut head,
         body,
@@ -175,12 +175,12 @@
         true => AttemptEnd::TargetError,
         false => AttemptEnd::Answered,
     });
-    let again = is_error
+    let may_retry = is_error
         && call
             .attempts
             .may_retry(call.route.kind, call.route.max_attempts);
     match read {
-        Some(Ok(bytes)) if !again => Ok(Beginning::Whole(head, bytes.to_bytes())),
+        Some(Ok(bytes)) if !may_retry => Ok(Beginning::Whole(head, bytes.to_bytes())),
         _ => Err(Failed {
             fate: Execution::Ran,
             end: AttemptEnd::TargetError,
@@ -190,9 +190,9 @@
 }
 
 fn gap_patience(call: &Call) -> Duration {
-    let more = call.attempts.sent() < call.route.max_attempts;
+    let may_follow = call.attempts.sent() < call.route.max_attempts;
     match call.route.gap_goal {
-        Some(gap) if call.route.kind.is_resumable() && more => {
+        Some(gap) if call.route.kind.is_resumable() && may_follow => {
             gap.mul_f64(GAP_PATIENCE).max(LEAST_PATIENCE)
         }
         _ => call.route.max_silence,
@@ -222,10 +222,10 @@
     let res = finish(cx, &ending, Response::from_parts(head, body));
     let cx_task = Rc::clone(cx);
     tokio::task::spawn_local(async move {
-        let gone = tx.clone();
+        let events_tx = tx.clone();
         tokio::select! {
             biased;
-            () = gone.closed() => {}
+            () = events_tx.closed() => {}
             () = pass_events(&cx_task, call, &ending, *source, first, tx) => {}
         }
     });
