--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -1,4 +1,4 @@
-//! The limits of client accounts at this router, and the shares of the accounts that it keeps.
+//! Limits of client accounts at this router, and the shares of the accounts that it owns.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc};
 
@@ -11,14 +11,14 @@
     units::Instant,
 };
 
-/// Accounts' limits at one router.
+/// State of the accounts' limits at one router.
 #[derive(Default)]
 pub(crate) struct Accounts {
     limiters: RefCell<HashMap<ClientAccountId, Limiter>>,
     keepers: RefCell<HashMap<ClientAccountId, ShareAllocator>>,
 }
 
-/// Gives a place in an account's concurrency back when dropped.
+/// A unit of an account's concurrency, released on drop.
 pub(crate) struct AccountPlace {
     cx: Rc<Gateway>,
     account: ClientAccountId,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Takes a call of an account in, or says when to come back; `None` where it has no limits.
+/// Admits a call of an account, or returns the delay after which to retry; `None` if it has no limits.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
     holder: Option<&KeyOwner>,
@@ -55,8 +55,8 @@
     }))
 }
 
-/// What is needed here, as each account's keeper is to be told it, with where that keeper is;
-/// what this router keeps itself is granted at once.
+/// Returns a request for this router's demand on each account, with the address of the account's owner.
+/// Shares of accounts that this router owns are granted at once.
 pub(crate) fn asks(cx: &Gateway) -> Vec<(SocketAddr, Message)> {
     let now = cx.now();
     let mut asks = Vec::new();
@@ -99,7 +99,7 @@
     demands
 }
 
-/// A share of an account that this router keeps; `None` for an account that is not known.
+/// Grants a share of an account that this router owns; returns `None` for an unknown account.
 pub(crate) fn on_demand(
     cx: &Gateway,
     to: &VmId,
@@ -121,7 +121,7 @@
     Some(keeper.on_demand(now, to.clone(), demand, limits))
 }
 
-/// Takes a share.
+/// Applies a granted share.
 pub(crate) fn on_grant(cx: &Gateway, account: &ClientAccountId, grant: Grant) {
     if let Some(limiter) = cx.accounts.limiters.borrow_mut().get_mut(account) {
         limiter.on_grant(cx.now(), grant);
--- a/src/edge/claim_keeper.rs
+++ b/src/edge/claim_keeper.rs
@@ -1,4 +1,4 @@
-//! The shards of claims that this router keeps: steps are gathered and written together.
+//! Records claims in the store for the shards that this router owns; steps are written in batches.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -16,16 +16,17 @@
     units::StoreRevision,
 };
 
-/// The shortest time between two writes of a shard; eight shards stay below 80 writes a second.
+/// Minimum interval between two writes of a shard, so that eight shards stay below 80 writes per second.
 const WRITE_EVERY: Duration = Duration::from_millis(100);
 
-/// Steps that are written together at the most.
+/// Maximum number of steps in one write.
 const BATCH: usize = 48;
 
-/// Steps that may wait for a shard; more are not recorded.
+/// Maximum number of steps that wait for a shard; further ones are not recorded.
 const QUEUE: usize = 512;
 
-/// How often a write that meets another keeper's is decided anew.
+/// Maximum number of attempts to write a batch. After a conflict with another router's write, the batch
+/// is decided again.
 const TRIES: u32 = 6;
 
 struct Waiting {
@@ -33,15 +34,15 @@
     reply: oneshot::Sender<ClaimVerdict>,
 }
 
-/// What a shard's keeper is to do.
+/// Job of the task that writes a shard.
 enum Job {
-    /// To record a step.
+    /// Records a step.
     Record(Waiting),
-    /// To see to it that the store holds what was recorded.
+    /// Ensures that the store holds all steps that were recorded.
     Recover,
 }
 
-/// Keeps shards of claims in the store.
+/// Records steps of claims in the store, with one task per shard.
 pub(crate) struct ClaimKeeper {
     store: Rc<dyn MetaStore>,
     shards: RefCell<HashMap<u64, Sender<Job>>>,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes a step; comes back when it is in the store, or not.
+    /// Records a step; returns once it is in the store or has failed to be recorded.
     pub(crate) async fn step(&self, step: ClaimStep) -> ClaimVerdict {
         let (reply, rx) = oneshot::channel();
         let queue = self.queue(step.key.shard());
@@ -65,10 +66,10 @@
         }
     }
 
-    /// The store was set back: what was recorded in the shards that this router keeps is written again.
+    /// Handles a reverted store: steps recorded in the shards of this router are written again.
     pub(crate) fn on_set_back(&self) {
         for queue in self.shards.borrow().values() {
-            // A queue that is full has steps to record, which does the same.
+            // A full queue holds steps to record, and recording them also recovers the shard.
             let _ = queue.try_send(Job::Recover);
         }
     }
@@ -93,11 +94,11 @@
     }
 }
 
-/// A shard with the store's revision of its last chunk.
+/// A shard as loaded from the store, with the revision of its last chunk.
 struct Kept {
     shard: ClaimShard,
     revision: Option<StoreRevision>,
-    /// The store has another last chunk, or may have.
+    /// Whether the last chunk in the store differs from this one, or may differ.
     is_stale: bool,
 }
 
@@ -121,13 +122,14 @@
             vec![ClaimVerdict::NotRecorded; steps.len()]
         });
         for (w, verdict) in waiting.into_iter().zip(verdicts) {
-            // The asker may have given up; its step stands all the same.
+            // The requester may have given up; its step remains recorded.
             let _ = w.reply.send(verdict);
         }
     }
 }
 
-/// Decides and writes, again with what another keeper wrote meanwhile.
+/// Decides on steps and writes them; after a conflict, reloads the shard with what another router wrote
+/// and decides again.
 async fn record(
     number: u64,
     store: &dyn MetaStore,
@@ -141,14 +143,14 @@
         }
         let Some(current) = kept else { continue };
         let batch = current.shard.decide(steps, wall_s());
-        // A verdict drawn from memory may be older than another keeper's write, so even a batch
-        // without a record confirms the chunk by writing it.
+        // A verdict from memory may be older than another router's write, so even a batch without a
+        // record confirms the chunk by writing it.
         if let Some(verdicts) = write(number, store, current, batch).await? {
             return Ok(verdicts);
         }
     }
     Err(StoreError::InvalidResponse(
-        "claims: too many keepers".to_owned(),
+        "claims: too many concurrent writers".to_owned(),
     ))
 }
 
@@ -183,10 +185,10 @@
     }
 }
 
-/// Finds out by reading whether a write whose answer was lost took effect.
+/// Reads the key to determine whether a write whose response was lost took effect.
 ///
-/// A write that did not may still be on its way, so "not written" is never concluded here: the
-/// batch is decided anew and competes with it for the same place.
+/// A write that has not taken effect may still be in transit, so it is never reported as not written,
+/// but as a conflict: the batch is decided again and competes with that write for the same key.
 async fn settle(store: &dyn MetaStore, key: &str, value: &[u8]) -> Result<SwapResult, StoreError> {
     match store.get(key).await? {
         Some(entry) if entry.value == value => Ok(SwapResult::Done(entry.revision)),
@@ -194,7 +196,7 @@
     }
 }
 
-/// Reads a shard, and recovers what the store has lost of it since it was known as `before`.
+/// Loads a shard, and recovers the records in `before` that the store has lost since then.
 async fn load(
     number: u64,
     store: &dyn MetaStore,
@@ -220,7 +222,7 @@
         kept.shard.load(place, chunk);
         kept.revision = Some(entry.revision);
     }
-    // Within an era the last chunk stays, so one that is not there was lost with an era.
+    // Within an era the last chunk is never removed, so a missing one was lost with an era.
     let era = |k: &Kept| k.revision.map(|r| r.era);
     let is_lost = |b: &&Kept| era(b) != era(&kept) || b.shard.is_recovering();
     if let Some(before) = before.filter(is_lost) {
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -1,4 +1,5 @@
-//! Confirming a plan: one compare-and-swap decides, and a lost answer is settled by reading.
+//! Confirms an operator's plan by one compare-and-swap in the store. If its response is lost, the
+//! outcome is determined by reading the key.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,36 +22,36 @@
     },
 };
 
-/// How often a confirmation that loses the race for a place tries the next one.
+/// Maximum number of revisions that a confirmation tries to take, if other changes take them first.
 const TRIES: u32 = 16;
 
-/// How long to wait before an unsettled write is looked at again.
+/// Pause before a write with an unknown outcome is tried again.
 const SETTLE_WAIT: Duration = Duration::from_millis(200);
 
-/// How often an unsettled write is looked at before the operator is told "unknown".
+/// Maximum number of attempts at a write with an unknown outcome before the operator gets "unknown".
 const SETTLE_TRIES: u32 = 10;
 
-/// A whole configuration is stored after so many changes.
+/// Number of changes after which the whole configuration is stored.
 const SNAPSHOT_EVERY: u64 = 128;
 
-/// Changes before a stored snapshot that are still kept one by one.
+/// Number of changes before a stored snapshot that remain in the store individually.
 const KEEP_CHANGES: u64 = 256;
 
-/// What an operator is told of an accepted change.
+/// Response to an operator whose change was accepted.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Accepted {
     id: ChangeId,
     revision: Revision,
 }
 
-/// What became of one write.
+/// Outcome of one write.
 enum Written {
     Accepted(Change),
     Lost,
     Unknown,
 }
 
-/// Makes a plan's change the next accepted one, exactly once.
+/// Makes a plan's change the next accepted change, exactly once.
 pub(super) async fn confirm(cx: &Rc<Gateway>, plan: &Plan) -> Result<Accepted, IntentError> {
     for _ in 0..TRIES {
         if let Some(accepted) = accepted_before(cx, &plan.id) {
@@ -59,19 +60,19 @@
         let change = cx.fleet.with_log(|log| intent::change(log, plan))?;
         match write(cx, change).await? {
             Written::Accepted(change) => return Ok(accept(cx, change)),
-            // Somebody else's change has the place: take it and try the next one.
+            // Another change has this revision: apply it and try the next revision.
             Written::Lost => {
                 if let Err(e) = read_changes(cx).await {
-                    info!(cx.log, "changes not read"; "why" => %e);
+                    info!(cx.log, "cannot read changes"; "why" => %e);
                 }
             }
             Written::Unknown => {
-                let detail = format!("not known yet: scaleford intent show {}", plan.id);
+                let detail = format!("outcome not known yet: scaleford intent show {}", plan.id);
                 return Err(IntentError::new(ResultCode::ChangeUnknown, detail));
             }
         }
     }
-    let detail = "too many other changes at once; confirm again";
+    let detail = "too many concurrent changes; confirm again";
     Err(IntentError::new(ResultCode::PlanOutdated, detail))
 }
 
@@ -100,14 +101,14 @@
                 None => {}
             },
             Err(e) => {
-                warn!(cx.log, "write without an answer"; "key" => &key, "error" => %e);
+                warn!(cx.log, "write not confirmed by the store"; "key" => &key, "error" => %e);
             }
         }
     }
     Ok(Written::Unknown)
 }
 
-/// Whether the change at a key is this one; `None` where the store does not answer.
+/// Returns whether the change at a key is this one; `None` if it cannot be read.
 async fn whose(cx: &Gateway, key: &str, change: &Change) -> Option<bool> {
     cx.metrics.on_store_call("confirm");
     let entry = cx.store.get(key).await.ok()??;
@@ -129,14 +130,14 @@
         let cx = Rc::clone(cx);
         tokio::task::spawn_local(async move {
             if let Err(e) = store_snapshot(&cx).await {
-                warn!(cx.log, "snapshot not stored"; "error" => %e);
+                warn!(cx.log, "cannot store snapshot"; "error" => %e);
             }
         });
     }
     accepted
 }
 
-/// Stores the whole configuration and removes changes that it makes needless.
+/// Stores the whole configuration and removes older changes that are no longer needed.
 async fn store_snapshot(cx: &Rc<Gateway>) -> Result<(), StoreError> {
     let snapshot = cx.fleet.with_log(crate::config::ConfigLog::snapshot);
     let value =
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds other routers with what the store holds, each answer encoded once for all that ask the same.
+//! Serves the store's content to other routers. Identical requests share one encoded response.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,49 +12,54 @@
     units::{ConfigVersion, Instant, StoreRevision},
 };
 
-/// How long an asked router waits for something newer.
+/// Maximum time that a router holds a request until it has something newer.
 pub(super) const ASK_WAIT: Duration = Duration::from_secs(5);
 
-/// How long one that feeds others waits for something newer: the proof that nothing is newer goes on with each answer, so
-/// it grows older by this at most from one router to the next.
+/// Maximum time that a router that feeds others holds a request until it has something newer.
+///
+/// Each response passes on the proof that nothing is newer, so the proof ages by at most this time
+/// from one router to the next.
 pub(super) const FEED_WAIT: Duration = Duration::from_millis(500);
 
-/// How often a router that was asked looks whether it still hears of the store itself.
+/// Interval at which a router that holds a request checks whether it can still serve the store's content.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
 
-/// How old a proof may be for the router that has it to feed others: the oldest one on a sound way, and a datagram that
-/// had to be sent again.
+/// Maximum age of a router's proof for it to feed others: the oldest age on a healthy path, plus one
+/// datagram that had to be sent again.
 pub(super) const FEEDS_FOR: Duration = Duration::from_millis(2_500);
 
-/// Answers that are kept: those that ask are at the same revision, but for some that start or were away.
+/// Maximum number of cached responses. Requests are for the same revision, except from routers that
+/// start or were disconnected.
 const ANSWERS_KEPT: usize = 4;
 
-/// Bytes from which on an answer is packed as a whole.
+/// Size from which a response is compressed as a whole, in bytes.
 const PACKED_FROM: usize = 4 << 10;
 
-/// The largest answer that is unpacked, in bytes: some ten times the entries of the size to design for.
+/// Maximum size of a decompressed response, in bytes: about ten times the entries of the largest fleet
+/// that is designed for.
 const UNPACK_LIMIT: usize = 64 << 20;
 
-/// How hard answers are packed, from 0 to 10: entries of targets come to a fifth of their size.
+/// Compression level of responses, from 0 to 10; it reduces entries of targets to a fifth of their size.
 const PACK_LEVEL: u8 = 3;
 
-/// The first byte of an answer that is packed, and of one that is not.
+/// First byte of a compressed response.
 const PACKED: u8 = 1;
+/// First byte of an uncompressed response.
 const PLAIN: u8 = 0;
 
-/// What one answer proves of the configuration.
+/// Confirmation of the applied configuration that accompanies a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Proof {
-    /// The configuration that the asked router applies.
+    /// Version of the configuration that the responding router applies.
     version: ConfigVersion,
-    /// How old its proof was when it answered, in milliseconds.
+    /// Age of its own confirmation when it responded, in milliseconds.
     age_ms: u32,
-    /// How long it held the question before, in milliseconds.
+    /// Time for which it held the request before it responded, in milliseconds.
     held_ms: u32,
 }
 
 impl Proof {
-    /// What a peer vouches for by an answer to a question that was sent at `asked`.
+    /// Returns the peer's confirmation that follows from its response to a request sent at `asked`.
     pub(super) fn vouch(self, asked: Instant) -> PeerConfirmation {
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
         PeerConfirmation {
@@ -64,13 +69,13 @@
         }
     }
 
-    /// Whether the router that sent it may go on to feed others.
+    /// Returns whether the proof is recent enough for its sender to feed other routers.
     pub(super) fn is_recent(self) -> bool {
         Duration::from_millis(u64::from(self.age_ms)) < FEEDS_FOR
     }
 }
 
-/// Answers as they were encoded last.
+/// Most recently encoded responses, latest first.
 #[derive(Default)]
 pub(super) struct Answers(VecDeque<Answer>);
 
@@ -80,7 +85,8 @@
     body: Bytes,
 }
 
-/// What is newer than a revision, or nothing after `wait`; with what that proves.
+/// Returns the encoded changes after a revision, or an empty response once `wait` has passed, together
+/// with the proof of the configuration.
 pub(super) async fn newer(
     cx: &Gateway,
     after: StoreRevision,
@@ -92,7 +98,8 @@
         let changed = cx.mirror_changed.notified();
         let now = cx.now();
         let is_behind = after < cx.mirror.borrow().revision();
-        // Whoever asks a router that lost the store had better ask another one; one that starts waits for its own list.
+        // A router that lost the store responds at once, so that the peer asks another one. A router that
+        // starts holds the request until its own first list arrives.
         let is_useful = feeds(cx, now) || cx.mirror.borrow().revision() == StoreRevision::default();
         if is_behind || now >= until || !is_useful {
             let body = answer(cx, after)?;
@@ -106,7 +113,8 @@
     }
 }
 
-/// Whether this router knows what the store holds: it reads it, or whoever it asks does.
+/// Returns whether this router's copy of the store is current: it reads the store itself, or its feeder
+/// confirmed the configuration recently.
 fn feeds(cx: &Gateway, now: Instant) -> bool {
     let age = cx.freshness.borrow().age(now);
     let is_fed = cx.peers.borrow().uses_feeders(now);
@@ -128,7 +136,8 @@
     let unseen = fleet::unseen_entries(cx, revision);
     let mut answers = cx.answers.borrow_mut();
     let same = |a: &&Answer| a.after == after && a.revision == revision;
-    // Changes that are not read back yet are no part of a revision.
+    // Changes that have not been read back from the store yet are not part of a revision, so a response
+    // with such changes is not taken from the cache.
     if let Some(kept) = answers.0.iter().find(same).filter(|_| unseen.is_empty()) {
         return Ok(kept.body.clone());
     }
@@ -161,7 +170,7 @@
     Ok(packed.into())
 }
 
-/// Decodes an answer of a peer.
+/// Decodes a peer's response.
 pub(super) fn decode(body: &[u8]) -> Result<MirrorReply, StoreError> {
     match body.split_first() {
         Some((&PLAIN, plain)) => postcard::from_bytes(plain).map_err(garbled),
@@ -169,7 +178,7 @@
             let plain = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, UNPACK_LIMIT);
             postcard::from_bytes(&plain.map_err(garbled)?).map_err(garbled)
         }
-        _ => Err(garbled("an answer of another version")),
+        _ => Err(garbled("unknown response format")),
     }
 }
 
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -1,5 +1,5 @@
-//! The operators' own configuration at this router: accepted changes in their one order, and what
-//! they put in force.
+//! The operators' own configuration at this router: accepted changes in their single order, and the
+//! configuration that they result in.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -15,7 +15,7 @@
     units::StoreRevision,
 };
 
-/// The log of changes, and how often an older history was refused.
+/// Log of accepted changes, and the number of diverged or older histories that were refused.
 #[derive(Default)]
 pub(crate) struct Fleet {
     log: RefCell<ConfigLog>,
@@ -23,22 +23,22 @@
 }
 
 impl Fleet {
-    /// The last change in force.
+    /// Returns the revision of the last change in force.
     pub(crate) fn revision(&self) -> Revision {
         self.log.borrow().revision()
     }
 
-    /// Older histories that were not taken.
+    /// Returns the number of diverged or older histories that were refused.
     pub(crate) fn reverts_refused(&self) -> u64 {
         self.reverts_refused.get()
     }
 
-    /// Looks at the log.
+    /// Calls `f` with the log of changes.
     pub(crate) fn with_log<T>(&self, f: impl FnOnce(&ConfigLog) -> T) -> T {
         f(&self.log.borrow())
     }
 
-    /// The revision of a recent change.
+    /// Returns the revision of a recent change, or `None` if it is not among the recent ones.
     pub(crate) fn revision_of(&self, id: &ChangeId) -> Option<Revision> {
         let log = self.log.borrow();
         log.recent().find(|c| c.id == *id).map(|c| c.revision)
@@ -49,7 +49,7 @@
     }
 }
 
-/// Takes a change, from wherever; says what became of it.
+/// Applies a change from any source; returns the outcome.
 pub(crate) fn take_change(cx: &Gateway, change: Change) -> ChangeOutcome {
     let revision = change.revision;
     let outcome = cx.fleet.log.borrow_mut().on_change(change);
@@ -57,7 +57,7 @@
     outcome
 }
 
-/// Takes a whole configuration, from wherever.
+/// Applies a whole configuration from any source.
 pub(crate) fn take_snapshot(cx: &Gateway, snapshot: Snapshot) {
     let revision = snapshot.revision;
     let outcome = cx.fleet.log.borrow_mut().on_snapshot(snapshot);
@@ -69,7 +69,7 @@
         ChangeOutcome::Applied => put_in_force(cx),
         ChangeOutcome::Conflict => {
             cx.fleet.on_revert();
-            error!(cx.log, "a change of another history was not taken";
+            error!(cx.log, "refused a change of a diverged history";
                 "code" => ResultCode::StoreReverted.number(), "revision" => revision.0);
         }
         ChangeOutcome::Old | ChangeOutcome::Gap => {}
@@ -101,13 +101,13 @@
     info!(cx.log, "config"; "revision" => revision.0, "applied" => applied);
 }
 
-/// Tells the other routers of a change that was accepted here: the store may be lost before they
-/// read it there. Whoever is not reached reads it from the store, or from a peer.
+/// Sends a change that was accepted here to the other routers, as the store may become unavailable
+/// before they read it there. A router that is not reached reads it from the store or from a peer.
 pub(crate) fn spread(cx: &Rc<Gateway>, change: &Change) {
     let body = match serde_json::to_vec(change) {
         Ok(body) => Bytes::from(body),
         Err(e) => {
-            warn!(cx.log, "change not encoded"; "revision" => change.revision.0, "why" => %e);
+            warn!(cx.log, "cannot encode change"; "revision" => change.revision.0, "why" => %e);
             return;
         }
     };
@@ -115,20 +115,20 @@
         let (cx, body) = (Rc::clone(cx), body.clone());
         tokio::task::spawn_local(async move {
             if let Err(e) = peer_calls::change(peer, body).await {
-                info!(cx.log, "peer not told of a change"; "peer" => %peer, "why" => %e);
+                info!(cx.log, "cannot send change to peer"; "peer" => %peer, "why" => %e);
             }
         });
     }
 }
 
-/// The last change that the store is known to hold.
+/// Returns the revision of the last change that the store is known to hold.
 pub(crate) fn newest_stored(cx: &Gateway) -> Revision {
     let mirror = cx.mirror.borrow();
     let newest = mirror.last_key(own::CHANGE_PREFIX);
     newest.and_then(own::change_revision).unwrap_or_default()
 }
 
-/// Changes in force here that the store is not known to hold.
+/// Returns the recent changes in force here that the store is not known to hold.
 pub(crate) fn unseen_changes(cx: &Gateway) -> Vec<Arc<Change>> {
     let seen = newest_stored(cx);
     cx.fleet.with_log(|log| {
@@ -137,10 +137,10 @@
     })
 }
 
-/// The same as entries of the store, for a peer whose copy of it is as of `at`.
+/// Returns those changes as store entries, for a peer that is sent the store's content as of `at`.
 pub(crate) fn unseen_entries(cx: &Gateway, at: StoreRevision) -> Vec<StoreItem> {
     let entry = |change: Arc<Change>| {
-        // A change that was accepted was encoded before.
+        // An accepted change was encoded before, so encoding does not fail.
         let value = serde_json::to_vec(&*change).ok()?;
         Some(StoreItem {
             key: own::change_key(change.revision),
@@ -151,25 +151,25 @@
     unseen_changes(cx).into_iter().filter_map(entry).collect()
 }
 
-/// Says loudly that the store holds less than what is in force, and gives it back what it lost.
+/// Logs an error if the store lacks changes that are in force, and writes them to it again.
 pub(crate) async fn mend_store(cx: &Rc<Gateway>, lost: Vec<Arc<Change>>) {
     let Some(first) = lost.first() else {
         return;
     };
     cx.fleet.on_revert();
-    error!(cx.log, "the store holds an older configuration than is in force";
+    error!(cx.log, "the store holds an older configuration than the one in force";
         "code" => ResultCode::StoreReverted.number(), "first_lost" => first.revision.0,
         "lost" => lost.len());
     for change in lost {
         let key = own::change_key(change.revision);
         let written = match serde_json::to_vec(&*change) {
-            // Whoever creates the key first, the content is the same; another content shows as a
-            // conflict when it is read.
+            // Several routers may create the key, but with the same content. Other content is detected as
+            // a conflict when it is read.
             Ok(value) => cx.store.swap(&key, None, value).await.map(|_| ()),
             Err(e) => Err(crate::store::StoreError::InvalidResponse(e.to_string())),
         };
         if let Err(e) = written {
-            warn!(cx.log, "change not given back"; "revision" => change.revision.0, "why" => %e);
+            warn!(cx.log, "cannot restore change in the store"; "revision" => change.revision.0, "why" => %e);
             return;
         }
     }
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -1,7 +1,9 @@
-//! Follows the store: a few routers list and watch it, the others ask those few.
+//! Keeps this router's copy of the store up to date.
 //!
-//! List once, then wait for changes from that revision on, and list anew when the history is gone
-//! (see "List-Watch Semantics"). A router that hears from no reader goes to the store itself.
+//! A few routers, the readers, list the store and watch it, and the others request its content from
+//! those few. The store is listed once and then watched for changes after that revision; it is listed
+//! again when its history no longer covers that revision. A router without a usable reader reads the
+//! store itself.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -23,34 +25,38 @@
     units::{Instant, StoreRevision},
 };
 
-/// How long one watch waits. The proof of the configuration is about this old at the most.
+/// Maximum time that one watch waits for a change. The confirmation of the configuration gets about
+/// this old at most.
 const WATCH_WAIT: Duration = Duration::from_millis(600);
 
-/// The pause after a watch that brought something: changes that come together are read together.
+/// Pause after a watch that returned changes, so that changes made close together are read together.
 const WATCH_PAUSE: Duration = Duration::from_millis(300);
 
-/// The pauses between a reader's calls while the store does not answer.
+/// Initial pause between a reader's calls while the store does not answer; doubled after each failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(40);
+/// Maximum of that pause, before jitter.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(300);
 
-/// The pause after a reader that had nothing or failed, before another one is asked.
+/// Pause before the next request after a reader failed or returned nothing useful, or while no source
+/// is available.
 const ASK_AGAIN: Duration = Duration::from_millis(50);
 
-/// How often a router that waits for its reader looks whether another peer knows more. One that
-/// does so twice in a row is asked in its place.
+/// Interval at which a router that waits for its reader checks whether another peer has a later
+/// revision. If one does in two checks in a row, the request is abandoned and that peer is asked
+/// instead.
 const OVERTAKEN_CHECK: Duration = Duration::from_millis(150);
 
-/// Whom this router follows.
+/// State of this router's synchronization with the store.
 struct Follower {
     cx: Rc<Gateway>,
     upstream: Option<PeerConn>,
     listed: bool,
     backoff: Duration,
-    /// When the store may be called again.
+    /// Earliest time of the next call to the store.
     retry_at: Instant,
 }
 
-/// Follows the store for ever.
+/// Keeps the copy of the store up to date until the router stops.
 pub(super) async fn follow_store(cx: Rc<Gateway>) {
     let mut follower = Follower {
         cx,
@@ -65,7 +71,7 @@
 }
 
 impl Follower {
-    /// One question, to the store or to a reader, and what follows from the answer.
+    /// Sends one request, to the store or to a reader, and applies the response.
     async fn step(&mut self) {
         let next = {
             let peers = self.cx.peers.borrow();
@@ -89,7 +95,7 @@
         }
     }
 
-    /// Asks a peer that reads the store.
+    /// Requests changes from a peer that reads the store.
     async fn ask(&mut self, reader: SocketAddr) {
         let kept = self.upstream.take().filter(|u| u.address() == reader);
         let connected = match kept {
@@ -112,7 +118,8 @@
             }
             Err(e) => Err(e),
         };
-        // A reader itself retries the store now and then, or it would never be one again.
+        // A router that is selected as a reader retries the store from time to time; otherwise it would
+        // never become an active reader again.
         let state = self.read_state();
         let now = self.cx.now();
         let is_reader = self.cx.peers.borrow().is_reader(now);
@@ -131,7 +138,7 @@
         self.listed |= self.cx.mirror.borrow().revision() != StoreRevision::default();
     }
 
-    /// Takes in a peer's answer, and what it proves.
+    /// Applies a peer's response and the confirmation of the configuration that comes with it.
     async fn take_answer(
         &self,
         reader: SocketAddr,
@@ -154,7 +161,7 @@
         }
         let is_recent = proof.is_some_and(Proof::is_recent);
         if is_fed && !is_recent {
-            info!(cx.log, "reader has nothing recent"; "reader" => %reader, "proof" => ?proof);
+            info!(cx.log, "reader has no recent confirmation"; "reader" => %reader, "proof" => ?proof);
             cx.peers.borrow_mut().on_nothing_recent(cx.now(), reader);
         }
         let is_of_use = is_news || (is_fed && is_recent);
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Ends when the reader that is asked falls behind other peers, or is not to be relied on.
+    /// Waits until the reader falls behind other peers or is no longer the selected one.
     async fn overtaken(&self, reader: SocketAddr, after: StoreRevision) {
         let mut behind = 0;
         loop {
@@ -178,7 +185,7 @@
         }
     }
 
-    /// Asks the store itself.
+    /// Lists or watches the store directly.
     async fn read(&mut self) {
         let sent = self.cx.now();
         let at = self.cx.mirror.borrow().revision();
@@ -212,11 +219,11 @@
         let now = cx.now();
         let known = cx.mirror.borrow().revision();
         if news.revision.era < known.era {
-            info!(cx.log, "answer of an earlier era"; "revision" => %news.revision, "known" => %known);
+            info!(cx.log, "response from an earlier store era"; "revision" => %news.revision, "known" => %known);
             return;
         }
         if news.revision < known {
-            // The mirror holds what the store held before this call was sent.
+            // The mirror holds a revision that the store had before this call was sent.
             warn!(cx.log, "store was set back"; "revision" => %news.revision, "known" => %known);
             cx.mirror.borrow_mut().clear();
             if self.listed {
@@ -237,13 +244,13 @@
         take_news(cx, news, is_list, cx.cfg.peers);
         let is_lost = |change: &Arc<Change>| unseen.contains(&change.revision);
         if is_list || quiet {
-            // What was in force before the call was sent would have come with its answer.
+            // A change that was in force before the call was sent would be part of the response.
             let mut lost = fleet::unseen_changes(cx);
             lost.retain(is_lost);
             fleet::mend_store(cx, lost).await;
         }
         let proven = match now.since(sent) {
-            // A watch that brought nothing waited until then for something newer.
+            // A watch that returned nothing confirms that no change was made before its wait ended.
             waited if waited >= WATCH_WAIT && quiet => sent + WATCH_WAIT,
             _ => sent,
         };
@@ -275,7 +282,7 @@
     }
 }
 
-/// Logs that a reader which had nothing newer knows less than this router.
+/// Logs if a reader that returned nothing is at an earlier revision than this router.
 fn log_if_behind(cx: &Gateway, reader: SocketAddr) {
     let known = cx.mirror.borrow().revision();
     let theirs = cx.peers.borrow().mirror_revision_of(reader);
@@ -284,7 +291,7 @@
     }
 }
 
-/// Reads the accepted changes anew, for an operator's change that met another one.
+/// Reads the accepted changes again after an operator's change conflicted with another one.
 pub(super) async fn read_changes(cx: &Gateway) -> Result<(), StoreError> {
     cx.metrics.on_store_call("confirm");
     let news = cx.store.list().await?;
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -1,4 +1,5 @@
-//! Takes in what the store or a peer that reads it told: each entry goes to the part that decides by it.
+//! Applies updates from the store or from a peer that reads it: each entry is passed to the component
+//! that uses it.
 
 use std::net::SocketAddr;
 
@@ -16,15 +17,16 @@
     units::{Instant, StoreRevision},
 };
 
-/// Targets of one list or change that are logged each; a router that starts would write a line for each of thousands.
+/// Maximum number of targets of one update that are logged individually. Without it, a router that
+/// starts would write a line for each of thousands.
 const TARGETS_NAMED: usize = 200;
 
-/// Takes in what the store or a reader told.
+/// Applies an update from the store or from a reader.
 pub(super) fn take_news(cx: &Gateway, news: &StoreUpdate, is_list: bool, from: SocketAddr) {
     let now = cx.now();
     let known = cx.mirror.borrow().revision();
     match news.revision.era {
-        // An answer that was on its way when a later life of the store was heard of.
+        // The response was in transit when this router learned of a later store era.
         era if era < known.era => return,
         era if era > known.era && known != StoreRevision::default() => {
             on_set_back(cx, known, news.revision, from);
@@ -70,7 +72,8 @@
     if is_list && !cx.cfg.own_config {
         let (halls, changes) = {
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
-            // Targets of an evacuated hall must not be used for a moment.
+            // Evacuated halls are applied before targets, as a target of such a hall must not be used even
+            // briefly.
             let halls = discovery.on_hall_list(now, evacuated, news.revision);
             (halls, discovery.on_list(now, list, news.revision))
         };
@@ -84,7 +87,8 @@
     }
 }
 
-/// The store came back from an older copy: entries that contradict what is known here may be about to be written again.
+/// Handles a store that was restored from an older copy: lost entries that are known here may be about
+/// to be written again.
 fn on_set_back(cx: &Gateway, known: StoreRevision, revision: StoreRevision, from: SocketAddr) {
     info!(cx.log, "store era"; "era" => revision.era.0, "before" => known.era.0,
         "revision" => revision.number, "known" => known.number, "from" => %from);
@@ -99,7 +103,8 @@
     }
 }
 
-/// Takes what the store holds once entries that it had lost are written again.
+/// Applies the mirror's whole content once the time is over in which entries lost in a reversion are
+/// written again.
 pub(super) fn settle(cx: &Gateway) {
     let is_settled = {
         let discovery = &mut cx.dispatcher.borrow_mut().discovery;
@@ -111,8 +116,8 @@
     }
 }
 
-/// Takes in what other routers wrote. A whole configuration goes first: changes build on it. Returns
-/// what was saved of targets and prompts, which builds on the list of targets.
+/// Applies entries that routers wrote. A whole configuration is applied before changes, which build on
+/// it. Returns the saved targets and prompts, which are to be applied after the list of targets.
 pub(super) fn take_own(cx: &Gateway, items: &[StoreItem], is_list: bool) -> Option<prompts::Saved> {
     let mut changes = Vec::new();
     let mut recalled = None;
@@ -142,7 +147,7 @@
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
                     quarantine.on_removed(request)
                 };
-                endings::log_change(cx, request, change, "its entry is gone");
+                endings::log_change(cx, request, change, "its store entry was removed");
             }
             Ok(_) => {}
             Err(why) => not_understood(cx, item, &why),
@@ -155,14 +160,15 @@
 }
 
 fn not_understood(cx: &Gateway, item: &StoreItem, why: &str) {
-    warn!(cx.log, "store entry not understood"; "key" => &item.key, "why" => why);
+    warn!(cx.log, "cannot decode store entry"; "key" => &item.key, "why" => why);
 }
 
 fn apply(cx: &Gateway, config: ServingConfig, from: SocketAddr) {
     let (revision, version, routes) = (config.revision, config.version, config.route_count());
     cx.stored_config.set(Some(version));
     let before = cx.serving();
-    // A write has a number of its own, so one that is known by version and number was there before the store was set back.
+    // Each write has its own number, so a write with a known version and number was made before the store
+    // was reverted.
     let is_known = |b: &ServingConfig| (b.version, b.revision.number) == (version, revision.number);
     let is_old = |b: &ServingConfig| version < b.version || is_known(b);
     if !before.as_deref().is_some_and(is_old) {
@@ -189,7 +195,8 @@
     log_targets(cx, &changes, at);
 }
 
-/// Logs what became of targets' entries that came together: each, or where these are many how many.
+/// Logs the effects of one update on targets: each one, or only their number if there are many. Targets
+/// whose instance ended are always logged.
 fn log_targets(cx: &Gateway, changes: &Changes, at: StoreRevision) {
     let is_many = changes.len() > TARGETS_NAMED;
     for (id, verdict) in changes {
@@ -204,8 +211,8 @@
     }
 }
 
-/// An entry was written that names no target to use: whoever wrote it, what stood there before does not
-/// hold any more.
+/// Logs and counts an entry that names no usable target. It replaces the previous entry of that key,
+/// whoever wrote it.
 fn log_unusable(cx: &Gateway, name: &TargetName, why: &str, at: StoreRevision) {
     cx.metrics.entries_unusable.inc();
     warn!(cx.log, "target entry unusable"; "target" => %name, "why" => why, "revision" => at.number);
@@ -221,7 +228,7 @@
     }
 }
 
-/// Logs that a data hall is evacuated, or taken back.
+/// Logs that a data hall was evacuated or taken back into service.
 pub(super) fn log_hall(cx: &Gateway, hall: &DataHall, at: StoreRevision) {
     let dispatcher = cx.dispatcher.borrow();
     let evacuations = dispatcher.discovery.evacuations();
@@ -236,7 +243,7 @@
         "store_age_ms" => cx.store_age().map(|age| age.as_millis() as u64));
 }
 
-/// Logs what became of a target's entry, and closes connections to a life of it that is over.
+/// Logs the effect of a change on a target, and closes connections to an instance of it that ended.
 pub(super) fn log_target(cx: &Gateway, id: &TargetId, verdict: TargetChange, at: StoreRevision) {
     if verdict.ends_instance() {
         cx.conns.forget(id);
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -1,8 +1,9 @@
-//! Calls between routers: what the store holds, a step of a claim, what was decided on a call.
+//! Requests between routers: the store's content, steps of claims, accepted changes, decisions on calls.
 //!
-//! HTTP on the peers' port with bodies in postcard or JSON. What the store holds is waited for as
-//! it would be at the store, so that few routers read it. It vouches for nothing: how old the
-//! configuration may be is told by datagrams.
+//! They use HTTP on the peers' port, with bodies in postcard or JSON. A request for the store's content
+//! waits for changes as a watch of the store does, so that only few routers read the store. Datagrams
+//! confirm how old the configuration may be; the proof in a response confirms it only in fleets that
+//! use feeders.
 
 use std::{cell::RefCell, convert::Infallible, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -29,35 +30,36 @@
     units::StoreRevision,
 };
 
-/// The pause after a connection that could not be taken.
+/// Pause after a connection that could not be accepted.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(40);
 
-/// How long the answer may take beyond the wait.
+/// Maximum time of a response beyond the requested wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a whole list may take beyond the wait: one of ten thousand entries, over a link that some dozens share.
+/// Maximum time of a response with a whole list beyond the requested wait: one of ten thousand entries,
+/// over a link that some dozens of routers share.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The header of an answer that says what it proves of the configuration.
+/// Response header with the proof of the configuration.
 const PROOF: &str = "scaleford-proof";
 
-/// How long the keeper of a claim may take: a write of its shard waits for the one before, and a
-/// store that is slow answers within this.
+/// Maximum time that the owner of a claim's shard may take to record a step: a write of the shard waits
+/// for the previous one, and a slow store answers within this time.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The largest body of a call between routers, in bytes: a step of a claim takes some sixty.
+/// Maximum body size of a claim step, in bytes; a step takes about sixty.
 const BODY_LIMIT: usize = 4 << 10;
 
-/// What is asked of a router.
+/// A request to another router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Ask {
-    /// `GET /store/ERA.NUMBER/MS`: what is newer than the revision, or nothing after so long.
+    /// `GET /store/ERA.NUMBER/MS`: returns changes after the revision, or nothing after `MS` milliseconds.
     Store(StoreRevision, Duration),
-    /// `POST /claim`: take a step.
+    /// `POST /claim`: records a step of a claim.
     Claim,
-    /// `GET /explain/ID`: what was decided on a call.
+    /// `GET /explain/ID`: returns the decisions on a call.
     Explain(String),
-    /// `POST /change`: take an accepted change.
+    /// `POST /change`: applies an accepted change.
     Change,
 }
 
@@ -95,7 +97,7 @@
     }
 }
 
-/// The largest change that is told, in bytes: as much as an operator may send.
+/// Maximum size of a change, in bytes: as much as an operator may send.
 const CHANGE_LIMIT: usize = 4 << 20;
 
 type Sender = client::conn::http1::SendRequest<Full<Bytes>>;
@@ -107,7 +109,7 @@
 }
 
 impl PeerConn {
-    /// Connects to a router.
+    /// Connects to the router at `address`.
     pub(super) async fn open(address: SocketAddr) -> Result<Self, StoreError> {
         let dial = TcpStream::connect(address);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, dial).await;
@@ -115,7 +117,7 @@
         let shaken = client::conn::http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = shaken.map_err(no_answer)?;
         tokio::task::spawn_local(async move {
-            // Its end reaches whoever waits for an answer on it.
+            // When the connection ends, pending requests on it fail.
             let _ = connection.await;
         });
         Ok(Self {
@@ -124,12 +126,13 @@
         })
     }
 
-    /// Whom it asks.
+    /// Returns the address of the peer.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks for what is newer than a revision, and waits so long for it; with what the answer proves.
+    /// Requests changes after a revision and waits up to `wait` for them; also returns the response's proof
+    /// of the configuration.
     pub(super) async fn newer(
         &self,
         after: StoreRevision,
@@ -184,7 +187,7 @@
     serde_json::from_slice(told).map_err(garbled)
 }
 
-/// Lets the keeper of a claim's shard take a step.
+/// Sends a step to the owner of the claim's shard, which records it.
 pub(super) async fn claim(
     cx: &Gateway,
     keeper: SocketAddr,
@@ -197,14 +200,14 @@
     postcard::from_bytes(&answer).map_err(garbled)
 }
 
-/// Tells another router of an accepted change, as JSON.
+/// Sends an accepted change to another router, as JSON.
 pub(super) async fn change(peer: SocketAddr, body: Bytes) -> Result<(), StoreError> {
     let conn = PeerConn::open(peer).await?;
     let answer = conn.call(Ask::Change, body, ANSWER_TIMEOUT).await;
     answer.map(|_| ())
 }
 
-/// What another router remembers of a call.
+/// Requests the decisions on a call that another router has recorded.
 pub(super) async fn explain(
     address: SocketAddr,
     id: &str,
@@ -223,7 +226,7 @@
     StoreError::InvalidResponse(e.to_string())
 }
 
-/// Answers routers that ask.
+/// Serves requests from other routers.
 pub(super) async fn serve(cx: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -236,7 +239,7 @@
                 let cx = Rc::clone(&cx);
                 async move { Ok::<_, Infallible>(answer(&cx, req).await) }
             });
-            // A router that left needs no answer.
+            // A router that disconnected needs no response.
             let _ = server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -262,7 +265,7 @@
                 .map(Bytes::from)
                 .map_err(garbled)
         }
-        None => Err(garbled("no such call")),
+        None => Err(garbled("unknown request")),
     };
     match answer {
         Ok(bytes) => proven(Response::new(AnswerBody::whole(bytes)), proof),
@@ -274,7 +277,7 @@
     }
 }
 
-/// An answer with what it proves; a proof that can't be encoded is none.
+/// Adds the proof of the configuration to a response; a proof that cannot be encoded is left out.
 fn proven(mut res: Response<AnswerBody>, proof: Option<Proof>) -> Response<AnswerBody> {
     let proof = proof.and_then(|p| serde_json::to_string(&p).ok());
     let proof = proof.and_then(|p| HeaderValue::from_str(&p).ok());
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -1,5 +1,5 @@
-//! What routers keep in the store of themselves: which targets there are and which prompts they have
-//! read, for routers that start when no other is left to tell, and where a router is that knows no other.
+//! State that routers save in the store: the targets and the prompts that these have read, for routers
+//! that start when no other is running, and the address of a router that knows no other.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,42 +16,47 @@
     store::{StoreError, own},
 };
 
-/// How long a router that has just started waits to hear of another one before it says in the
-/// store where it is.
+/// Time after its start for which a router waits for another one before it writes its address to the
+/// store.
 const FIRST_ANNOUNCE: Duration = Duration::from_secs(1);
 
-/// How often it does so again while it knows no other.
+/// Interval between further writes of the address while it knows no other router.
 const ANNOUNCE_EVERY: Duration = Duration::from_secs(8);
 
-/// How often it is saved which prompts are read where, if that changed. What is read between the
-/// last save and the loss of all routers is read again; each write wakes the readers' watches.
+/// Interval at which the prompts that targets have read are saved, if they changed.
+///
+/// Prompts read between the last save and the loss of all routers have to be read again. A shorter
+/// interval costs more, as each write wakes the readers' watches.
 const SAVE_EVERY: Duration = Duration::from_secs(2);
 
-/// The most that is saved, in bytes: well below the largest value of the users' sites in base64.
+/// Maximum size of the saved state, in bytes. Encoded in base64, it is well below the largest value
+/// that the stores of the users' sites accept.
 const SAVED_LIMIT: usize = 512 << 10;
 
-/// What is saved.
+/// The saved state.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Saved {
-    /// Shared parts of prompts with the targets that have read them.
+    /// Shared parts of prompts, with the targets that have read them.
     prompts: PromptSnapshot,
     /// The targets in the list.
     targets: Vec<TargetRecord>,
-    /// How long calls hold a slot, by service.
+    /// Mean time for which a call occupies a slot, by service.
     held: Vec<(ServiceName, Duration)>,
 }
 
-/// Decodes what was saved; nothing where another version saved it.
+/// Decodes the saved state; returns an empty one if another version saved it.
 pub(super) fn decode(cx: &Gateway, saved: &[u8]) -> Saved {
     postcard::from_bytes(saved).unwrap_or_else(|e| {
-        warn!(cx.log, "saved prompts not understood"; "why" => %e);
+        warn!(cx.log, "cannot decode saved prompts"; "why" => %e);
         Saved::default()
     })
 }
 
-/// Takes in which prompts were read where, after a list of targets; `is_first` in this router's life,
-/// which knows nothing of targets that lapsed before it. Operators' own configuration states targets
-/// itself.
+/// Restores the saved state after a list of targets.
+///
+/// `is_first` is set for the first list since this router started: only then are saved targets
+/// restored, as the router does not know those whose entries expired before its start. The operators'
+/// own configuration defines its targets itself, so none are restored with it.
 pub(super) fn recall(cx: &Gateway, saved: Saved, is_first: bool) {
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
@@ -62,14 +67,14 @@
     for (service, held) in &saved.held {
         dispatcher.admission.on_restored_slot_time(service, *held);
     }
-    info!(cx.log, "saved prompts"; "parts" => saved.prompts.len(), "lapsed_targets" => lapsed.len());
+    info!(cx.log, "restored saved prompts"; "parts" => saved.prompts.len(), "lapsed_targets" => lapsed.len());
     for (id, tokens, target) in saved.prompts.part_locations() {
         let part = PromptPart { id, tokens };
         dispatcher.cache.on_peer(&target, part, false);
     }
 }
 
-/// Saves which prompts are read where, over and over; one router does it for all.
+/// Saves periodically which prompts the targets have read; one router does so for the whole fleet.
 pub(super) async fn save(cx: Rc<Gateway>) {
     loop {
         tokio::time::sleep(SAVE_EVERY).await;
@@ -82,7 +87,7 @@
         let saved = match postcard::to_stdvec(&now_saved) {
             Ok(bytes) if bytes.len() <= SAVED_LIMIT => cx.store.put(own::PROMPTS_KEY, bytes).await,
             Ok(bytes) => Err(StoreError::InvalidResponse(format!(
-                "{} bytes",
+                "{} bytes exceed the size limit of the saved prompts",
                 bytes.len()
             ))),
             Err(e) => Err(StoreError::InvalidResponse(e.to_string())),
@@ -105,7 +110,7 @@
     }
 }
 
-/// Says in the store where peers reach this router, as long as it hears of none.
+/// Writes the address at which peers reach this router to the store as long as it knows no peer.
 pub(super) async fn announce(cx: Rc<Gateway>) {
     let mut pause = FIRST_ANNOUNCE;
     loop {
@@ -119,7 +124,7 @@
         let key = own::router_key(&cx.cfg.vm);
         let address = cx.cfg.peers.to_string().into_bytes();
         if let Err(e) = cx.store.put_with_lease(&key, address).await {
-            info!(cx.log, "not announced"; "why" => %e);
+            info!(cx.log, "cannot write this router's address to the store"; "why" => %e);
         }
     }
 }
--- a/src/edge/sums.rs
+++ b/src/edge/sums.rs
@@ -1,4 +1,4 @@
-//! What hubs add up for others: counts of calls, and rates of accounts.
+//! Aggregates that hubs compute for other routers: counts of calls, and rates of accounts.
 
 use slog::debug;
 
@@ -12,24 +12,24 @@
     units::Instant,
 };
 
-/// Sums as they are sent, encoded once for all receivers.
+/// Encoded sums of call counts, shared by all receivers.
 #[derive(Default)]
 pub(super) struct Sums {
-    /// Of all data halls, for the routers of this one.
+    /// Sums of all data halls, for the routers of this data hall.
     pub(super) all: Vec<u8>,
-    /// Of this data hall, for the hubs of the others.
+    /// Sum of this data hall, for the hubs of the others.
     pub(super) own: Vec<u8>,
 }
 
 impl Sums {
-    /// What routers have in progress, as this one knows it.
+    /// Encodes the counts of calls in progress that this router knows.
     pub(super) fn of_halls(cx: &Gateway) -> Self {
         let now = cx.now();
         let dispatcher = cx.dispatcher.borrow();
         let encode = |sums: &HallSums| match postcard::to_stdvec(sums) {
             Ok(bytes) => bytes,
             Err(e) => {
-                debug!(cx.log, "sums not encoded"; "why" => %e);
+                debug!(cx.log, "cannot encode sums"; "why" => %e);
                 Vec::new()
             }
         };
@@ -40,25 +40,25 @@
     }
 }
 
-/// Rates of accounts to report.
+/// Account rates to report.
 #[derive(Default)]
 pub(super) struct Rates {
-    /// Of this router's own calls.
+    /// Rates of this router's own calls.
     pub(super) own: Vec<RateReport>,
-    /// Of data halls, where it adds up.
+    /// Rates of data halls, if this router aggregates them.
     pub(super) halls: HallRates,
 }
 
-/// When rates of accounts were last reported.
+/// Time of the last report of account rates.
 pub(super) struct RatesDue(Instant);
 
 impl RatesDue {
-    /// As if they were reported now.
+    /// Creates a schedule whose first report is due one interval after `now`.
     pub(super) fn new(now: Instant) -> Self {
         Self(now)
     }
 
-    /// The rates, if they are due; else none.
+    /// Returns the rates if they are due, or else empty ones.
     pub(super) fn take(&mut self, cx: &Gateway, now: Instant) -> Rates {
         if now.since(self.0) < RATE_REPORT_INTERVAL {
             return Rates::default();
--- a/src/edge/withdrawals.rs
+++ b/src/edge/withdrawals.rs
@@ -1,4 +1,4 @@
-//! What heads of answers say of their targets, from where it is read to where it decides and is logged.
+//! Applies and logs withdrawals: requests for no calls that targets make in the heads of their responses.
 
 use hyper::StatusCode;
 use slog::info;
@@ -10,7 +10,9 @@
     withdrawals::Withdrawal,
 };
 
-/// The head of an answer came. One that is not the target's own, or for which it does not vouch, says nothing of it.
+/// Handles the head of a response. A head that comes from another server at the target's address, or a
+/// success whose bytes the target does not vouch for with its seal, says nothing of the target and is
+/// ignored.
 pub(super) fn on_head(
     cx: &Gateway,
     call: &Call,
@@ -34,13 +36,13 @@
         "withdrawal" => withdrawal.name(), "backoff_ms" => backoff);
 }
 
-/// Whether a target wants no calls now.
+/// Returns whether a target currently accepts no calls.
 pub(super) fn is_withdrawn(cx: &Gateway, target: &TargetId) -> bool {
     let withdrawals = &cx.dispatcher.borrow().withdrawals;
     withdrawals.get(cx.now(), target).is_some()
 }
 
-/// Notes which targets want calls again.
+/// Logs the targets that accept calls again, and updates the metrics.
 pub(super) fn on_tick(cx: &Gateway) {
     let now = cx.now();
     let withdrawals = &mut cx.dispatcher.borrow_mut().withdrawals;
