--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -36,9 +36,9 @@
 /// Admits a call of an account, or returns the delay after which to retry; `None` if it has no limits.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
-    holder: Option<&KeyOwner>,
+    key_owner: Option<&KeyOwner>,
 ) -> Result<Option<AccountPlace>, std::time::Duration> {
-    let limited = holder.and_then(|h| h.limits.map(|limits| (&h.account, limits)));
+    let limited = key_owner.and_then(|owner| owner.limits.map(|limits| (&owner.account, limits)));
     let Some((account, limits)) = limited else {
         return Ok(None);
     };
@@ -59,21 +59,21 @@
 /// Shares of accounts that this router owns are granted at once.
 pub(crate) fn asks(cx: &Gateway) -> Vec<(SocketAddr, Message)> {
     let now = cx.now();
-    let mut asks = Vec::new();
+    let mut requests = Vec::new();
     for (account, demand) in demands(cx, now) {
-        let keeper = cx
+        let owner = cx
             .peers
             .borrow()
             .owner_of(now, &format!("account/{account}"));
-        match keeper {
+        match owner {
             Some(address) => {
                 let from = cx.cfg.vm.clone();
-                let ask = Message::ShareRequest {
+                let request = Message::ShareRequest {
                     from,
                     account,
                     demand,
                 };
-                asks.push((address, ask));
+                requests.push((address, request));
             }
             None => {
                 let grant = on_demand(cx, &cx.cfg.vm, &account, demand);
@@ -81,7 +81,7 @@
             }
         }
     }
-    asks
+    requests
 }
 
 fn demands(cx: &Gateway, now: Instant) -> Vec<(ClientAccountId, Demand)> {
@@ -95,7 +95,7 @@
     cx.accounts
         .keepers
         .borrow_mut()
-        .retain(|_, k| !k.is_idle(now));
+        .retain(|_, allocator| !allocator.is_idle(now));
     demands
 }
 
@@ -114,11 +114,11 @@
         })
     })?;
     let now = cx.now();
-    let mut keepers = cx.accounts.keepers.borrow_mut();
-    let keeper = keepers
+    let mut allocators = cx.accounts.keepers.borrow_mut();
+    let allocator = allocators
         .entry(account.clone())
         .or_insert_with(|| ShareAllocator::new(now));
-    Some(keeper.on_demand(now, to.clone(), demand, limits))
+    Some(allocator.on_demand(now, to.clone(), demand, limits))
 }
 
 /// Applies a granted share.
--- a/src/edge/claim_keeper.rs
+++ b/src/edge/claim_keeper.rs
@@ -103,11 +103,11 @@
 }
 
 async fn keep(number: u64, store: Rc<dyn MetaStore>, mut rx: Receiver<Job>) {
-    let mut kept = None;
+    let mut loaded = None;
     let mut jobs = Vec::new();
-    let mut next = Instant::now();
+    let mut next_write = Instant::now();
     while rx.recv_many(&mut jobs, BATCH).await > 0 {
-        tokio::time::sleep_until(next).await;
+        tokio::time::sleep_until(next_write).await;
         while jobs.len() < BATCH
             && let Ok(more) = rx.try_recv()
         {
@@ -115,10 +115,10 @@
         }
         let waiting: Vec<Waiting> = jobs.drain(..).filter_map(Job::waiting).collect();
         let steps: Vec<_> = waiting.iter().map(|w| w.step).collect();
-        let verdicts = record(number, &*store, &mut kept, &steps).await;
-        next = Instant::now() + WRITE_EVERY;
+        let verdicts = record(number, &*store, &mut loaded, &steps).await;
+        next_write = Instant::now() + WRITE_EVERY;
         let verdicts = verdicts.unwrap_or_else(|_| {
-            kept.iter_mut().for_each(|k| k.is_stale = true);
+            loaded.iter_mut().for_each(|k| k.is_stale = true);
             vec![ClaimVerdict::NotRecorded; steps.len()]
         });
         for (w, verdict) in waiting.into_iter().zip(verdicts) {
@@ -133,15 +133,15 @@
 async fn record(
     number: u64,
     store: &dyn MetaStore,
-    kept: &mut Option<Kept>,
+    loaded: &mut Option<Kept>,
     steps: &[ClaimStep],
 ) -> Result<Vec<ClaimVerdict>, StoreError> {
     for _ in 0..TRIES {
-        if kept.as_ref().is_none_or(|k| k.is_stale) {
-            let loaded = load(number, store, kept.as_ref()).await?;
-            *kept = Some(loaded);
+        if loaded.as_ref().is_none_or(|k| k.is_stale) {
+            let reloaded = load(number, store, loaded.as_ref()).await?;
+            *loaded = Some(reloaded);
         }
-        let Some(current) = kept else { continue };
+        let Some(current) = loaded else { continue };
         let batch = current.shard.decide(steps, wall_s());
         // A verdict from memory may be older than another router's write, so even a batch without a
         // record confirms the chunk by writing it.
@@ -204,31 +204,32 @@
 ) -> Result<Kept, StoreError> {
     let prefix = ClaimShard::store_prefix(number);
     let entries = store.range(&prefix).await?;
-    let mut kept = Kept {
+    let mut loaded = Kept {
         shard: ClaimShard::default(),
         revision: None,
         is_stale: false,
     };
     let newest = entries.last().map_or_else(String::new, |e| e.key.clone());
     for entry in entries {
-        let fault = |e: String| StoreError::InvalidResponse(format!("{}: {e}", entry.key));
-        let place = entry.key[prefix.len()..].parse();
-        let place = place.map_err(|e: std::num::ParseIntError| fault(e.to_string()))?;
-        let chunk = serde_json::from_slice(&entry.value).map_err(|e| fault(e.to_string()))?;
+        let invalid = |e: String| StoreError::InvalidResponse(format!("{}: {e}", entry.key));
+        let chunk_number = entry.key[prefix.len()..].parse();
+        let chunk_number =
+            chunk_number.map_err(|e: std::num::ParseIntError| invalid(e.to_string()))?;
+        let chunk = serde_json::from_slice(&entry.value).map_err(|e| invalid(e.to_string()))?;
         if entry.key != newest && ClaimShard::is_expired(&chunk, wall_s()) {
             store.remove(&entry.key).await?;
             continue;
         }
-        kept.shard.load(place, chunk);
-        kept.revision = Some(entry.revision);
+        loaded.shard.load(chunk_number, chunk);
+        loaded.revision = Some(entry.revision);
     }
     // Within an era the last chunk is never removed, so a missing one was lost with an era.
     let era = |k: &Kept| k.revision.map(|r| r.era);
-    let is_lost = |b: &&Kept| era(b) != era(&kept) || b.shard.is_recovering();
+    let is_lost = |b: &&Kept| era(b) != era(&loaded) || b.shard.is_recovering();
     if let Some(before) = before.filter(is_lost) {
-        kept.shard.recover(&before.shard, wall_s());
+        loaded.shard.recover(&before.shard, wall_s());
     }
-    Ok(kept)
+    Ok(loaded)
 }
 
 fn wall_s() -> u64 {
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -85,11 +85,12 @@
 }
 
 async fn write(cx: &Rc<Gateway>, change: Change) -> Result<Written, IntentError> {
-    let fault = |e: serde_json::Error| IntentError::new(ResultCode::Internal, e.to_string());
-    let value = serde_json::to_vec(&change).map_err(fault)?;
+    let internal_error =
+        |e: serde_json::Error| IntentError::new(ResultCode::Internal, e.to_string());
+    let value = serde_json::to_vec(&change).map_err(internal_error)?;
     let key = change_key(change.revision);
-    for n in 0..SETTLE_TRIES {
-        if n > 0 {
+    for attempt in 0..SETTLE_TRIES {
+        if attempt > 0 {
             tokio::time::sleep(SETTLE_WAIT).await;
         }
         cx.metrics.on_store_call("confirm");
@@ -142,9 +143,9 @@
     let snapshot = cx.fleet.with_log(crate::config::ConfigLog::snapshot);
     let value =
         serde_json::to_vec(&snapshot).map_err(|e| StoreError::InvalidResponse(e.to_string()))?;
-    let known = cx.store.get(SNAPSHOT_KEY).await?;
+    let existing = cx.store.get(SNAPSHOT_KEY).await?;
     cx.store
-        .swap(SNAPSHOT_KEY, known.map(|e| e.revision), value)
+        .swap(SNAPSHOT_KEY, existing.map(|e| e.revision), value)
         .await?;
     let last = snapshot.revision.0.saturating_sub(KEEP_CHANGES);
     for n in last.saturating_sub(SNAPSHOT_EVERY) + 1..=last {
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -60,10 +60,10 @@
 
 impl Proof {
     /// Returns the peer's confirmation that follows from its response to a request sent at `asked`.
-    pub(super) fn vouch(self, asked: Instant) -> PeerConfirmation {
+    pub(super) fn vouch(self, sent: Instant) -> PeerConfirmation {
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
         PeerConfirmation {
-            echo: asked + ms(self.held_ms),
+            echo: sent + ms(self.held_ms),
             age: ms(self.age_ms),
             version: self.version,
         }
@@ -92,8 +92,8 @@
     after: StoreRevision,
     wait: Duration,
 ) -> Result<(Bytes, Option<Proof>), StoreError> {
-    let asked = cx.now();
-    let until = asked + wait;
+    let received = cx.now();
+    let deadline = received + wait;
     loop {
         let changed = cx.mirror_changed.notified();
         let now = cx.now();
@@ -101,11 +101,11 @@
         // A router that lost the store responds at once, so that the peer asks another one. A router that
         // starts holds the request until its own first list arrives.
         let is_useful = feeds(cx, now) || cx.mirror.borrow().revision() == StoreRevision::default();
-        if is_behind || now >= until || !is_useful {
+        if is_behind || now >= deadline || !is_useful {
             let body = answer(cx, after)?;
-            return Ok((body, proof(cx, now, now.since(asked))));
+            return Ok((body, proof(cx, now, now.since(received))));
         }
-        let pause = until.since(now).min(LOOK_EVERY);
+        let pause = deadline.since(now).min(LOOK_EVERY);
         tokio::select! {
             () = changed => {}
             () = tokio::time::sleep(pause) => {}
@@ -117,66 +117,67 @@
 /// confirmed the configuration recently.
 fn feeds(cx: &Gateway, now: Instant) -> bool {
     let age = cx.freshness.borrow().age(now);
-    let is_fed = cx.peers.borrow().uses_feeders(now);
-    cx.reads_store() || (is_fed && age.is_some_and(|age| age < FEEDS_FOR))
+    let uses_feeders = cx.peers.borrow().uses_feeders(now);
+    cx.reads_store() || (uses_feeders && age.is_some_and(|age| age < FEEDS_FOR))
 }
 
-fn proof(cx: &Gateway, now: Instant, held: Duration) -> Option<Proof> {
+fn proof(cx: &Gateway, now: Instant, hold_time: Duration) -> Option<Proof> {
     let freshness = cx.freshness.borrow();
     let age = freshness.age(now)?;
     Some(Proof {
         version: freshness.version(),
         age_ms: age.as_millis().try_into().unwrap_or(u32::MAX),
-        held_ms: held.as_millis() as u32,
+        held_ms: hold_time.as_millis() as u32,
     })
 }
 
 fn answer(cx: &Gateway, after: StoreRevision) -> Result<Bytes, StoreError> {
     let revision = cx.mirror.borrow().revision();
     let unseen = fleet::unseen_entries(cx, revision);
-    let mut answers = cx.answers.borrow_mut();
-    let same = |a: &&Answer| a.after == after && a.revision == revision;
+    let mut cache = cx.answers.borrow_mut();
+    let is_same = |a: &&Answer| a.after == after && a.revision == revision;
     // Changes that have not been read back from the store yet are not part of a revision, so a response
     // with such changes is not taken from the cache.
-    if let Some(kept) = answers.0.iter().find(same).filter(|_| unseen.is_empty()) {
-        return Ok(kept.body.clone());
+    if let Some(cached) = cache.0.iter().find(is_same).filter(|_| unseen.is_empty()) {
+        return Ok(cached.body.clone());
     }
-    let mut told = cx.mirror.borrow().since(after);
-    if let Some(MirrorReply::Changes(news) | MirrorReply::List(news)) = &mut told {
-        news.items.extend(unseen);
+    let mut reply = cx.mirror.borrow().since(after);
+    if let Some(MirrorReply::Changes(update) | MirrorReply::List(update)) = &mut reply {
+        update.items.extend(unseen);
     }
-    let body = encode(&told.unwrap_or(MirrorReply::Nothing))?;
-    answers.0.truncate(ANSWERS_KEPT - 1);
-    let kept = Answer {
+    let body = encode(&reply.unwrap_or(MirrorReply::Nothing))?;
+    cache.0.truncate(ANSWERS_KEPT - 1);
+    let cached = Answer {
         after,
         revision,
         body: body.clone(),
     };
-    answers.0.push_front(kept);
+    cache.0.push_front(cached);
     Ok(body)
 }
 
-fn encode(told: &MirrorReply) -> Result<Bytes, StoreError> {
-    let mut plain = vec![PLAIN];
-    plain = postcard::to_extend(told, plain).map_err(garbled)?;
-    if plain.len() < PACKED_FROM {
-        return Ok(plain.into());
+fn encode(reply: &MirrorReply) -> Result<Bytes, StoreError> {
+    let mut uncompressed = vec![PLAIN];
+    uncompressed = postcard::to_extend(reply, uncompressed).map_err(garbled)?;
+    if uncompressed.len() < PACKED_FROM {
+        return Ok(uncompressed.into());
     }
-    let mut packed = vec![PACKED];
-    packed.extend(miniz_oxide::deflate::compress_to_vec(
-        &plain[1..],
+    let mut compressed = vec![PACKED];
+    compressed.extend(miniz_oxide::deflate::compress_to_vec(
+        &uncompressed[1..],
         PACK_LEVEL,
     ));
-    Ok(packed.into())
+    Ok(compressed.into())
 }
 
 /// Decodes a peer's response.
 pub(super) fn decode(body: &[u8]) -> Result<MirrorReply, StoreError> {
     match body.split_first() {
-        Some((&PLAIN, plain)) => postcard::from_bytes(plain).map_err(garbled),
-        Some((&PACKED, packed)) => {
-            let plain = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, UNPACK_LIMIT);
-            postcard::from_bytes(&plain.map_err(garbled)?).map_err(garbled)
+        Some((&PLAIN, uncompressed)) => postcard::from_bytes(uncompressed).map_err(garbled),
+        Some((&PACKED, compressed)) => {
+            let uncompressed =
+                miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, UNPACK_LIMIT);
+            postcard::from_bytes(&uncompressed.map_err(garbled)?).map_err(garbled)
         }
         _ => Err(garbled("unknown response format")),
     }
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -95,8 +95,8 @@
     for hall in halls {
         super::news::log_hall(cx, &hall, at);
     }
-    for (id, verdict) in changes {
-        super::news::log_target(cx, &id, verdict, at);
+    for (id, change) in changes {
+        super::news::log_target(cx, &id, change, at);
     }
     info!(cx.log, "config"; "revision" => revision.0, "applied" => applied);
 }
@@ -130,9 +130,9 @@
 
 /// Returns the recent changes in force here that the store is not known to hold.
 pub(crate) fn unseen_changes(cx: &Gateway) -> Vec<Arc<Change>> {
-    let seen = newest_stored(cx);
+    let stored = newest_stored(cx);
     cx.fleet.with_log(|log| {
-        let unseen = log.recent().filter(|c| c.revision > seen);
+        let unseen = log.recent().filter(|c| c.revision > stored);
         unseen.cloned().collect()
     })
 }
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -97,23 +97,23 @@
 
     /// Requests changes from a peer that reads the store.
     async fn ask(&mut self, reader: SocketAddr) {
-        let kept = self.upstream.take().filter(|u| u.address() == reader);
-        let connected = match kept {
+        let existing = self.upstream.take().filter(|u| u.address() == reader);
+        let connected = match existing {
             Some(upstream) => Ok(upstream),
             None => PeerConn::open(reader).await,
         };
-        let asked = self.cx.now();
-        let is_fed = self.cx.peers.borrow().uses_feeders(asked);
-        let told = match connected {
+        let sent = self.cx.now();
+        let uses_feeders = self.cx.peers.borrow().uses_feeders(sent);
+        let response = match connected {
             Ok(upstream) => {
                 let after = self.cx.mirror.borrow().revision();
-                let wait = if is_fed { FEED_WAIT } else { ASK_WAIT };
+                let wait = if uses_feeders { FEED_WAIT } else { ASK_WAIT };
                 tokio::select! {
-                    told = upstream.newer(after, wait) => {
+                    response = upstream.newer(after, wait) => {
                         self.upstream = Some(upstream);
-                        told
+                        response
                     }
-                    () = self.overtaken(reader, after), if !is_fed => return,
+                    () = self.overtaken(reader, after), if !uses_feeders => return,
                 }
             }
             Err(e) => Err(e),
@@ -126,8 +126,8 @@
         if state.store_lost && is_reader && now >= self.retry_at {
             self.read().await;
         }
-        match told {
-            Ok((told, proof)) => self.take_answer(reader, asked, told, proof).await,
+        match response {
+            Ok((reply, proof)) => self.take_answer(reader, sent, reply, proof).await,
             Err(e) => {
                 self.upstream = None;
                 info!(self.cx.log, "reader does not answer"; "reader" => %reader, "why" => %e);
@@ -142,44 +142,44 @@
     async fn take_answer(
         &self,
         reader: SocketAddr,
-        asked: Instant,
-        told: MirrorReply,
+        sent: Instant,
+        reply: MirrorReply,
         proof: Option<Proof>,
     ) {
         let cx = &self.cx;
-        let is_news = told != MirrorReply::Nothing;
-        match told {
-            MirrorReply::Changes(news) => take_news(cx, &news, false, reader),
-            MirrorReply::List(news) => take_news(cx, &news, true, reader),
+        let has_changes = reply != MirrorReply::Nothing;
+        match reply {
+            MirrorReply::Changes(update) => take_news(cx, &update, false, reader),
+            MirrorReply::List(update) => take_news(cx, &update, true, reader),
             MirrorReply::Nothing => log_if_behind(cx, reader),
         }
-        let is_fed = cx.peers.borrow().uses_feeders(cx.now());
-        if let Some(proof) = proof.filter(|_| is_fed) {
+        let uses_feeders = cx.peers.borrow().uses_feeders(cx.now());
+        if let Some(proof) = proof.filter(|_| uses_feeders) {
             cx.freshness
                 .borrow_mut()
-                .on_peer_confirmation(proof.vouch(asked));
+                .on_peer_confirmation(proof.vouch(sent));
         }
         let is_recent = proof.is_some_and(Proof::is_recent);
-        if is_fed && !is_recent {
+        if uses_feeders && !is_recent {
             info!(cx.log, "reader has no recent confirmation"; "reader" => %reader, "proof" => ?proof);
             cx.peers.borrow_mut().on_nothing_recent(cx.now(), reader);
         }
-        let is_of_use = is_news || (is_fed && is_recent);
-        if !is_of_use {
+        let is_useful = has_changes || (uses_feeders && is_recent);
+        if !is_useful {
             tokio::time::sleep(ASK_AGAIN).await;
         }
     }
 
     /// Waits until the reader falls behind other peers or is no longer the selected one.
     async fn overtaken(&self, reader: SocketAddr, after: StoreRevision) {
-        let mut behind = 0;
+        let mut times_ahead = 0;
         loop {
             tokio::time::sleep(OVERTAKEN_CHECK).await;
             let now = self.cx.now();
             let peers = self.cx.peers.borrow();
-            let ahead = peers.peer_ahead_of(now, after).is_some();
-            behind = if ahead { behind + 1 } else { 0 };
-            if behind >= 2 || peers.choose_reader(now) != Some(reader) {
+            let is_ahead = peers.peer_ahead_of(now, after).is_some();
+            times_ahead = if is_ahead { times_ahead + 1 } else { 0 };
+            if times_ahead >= 2 || peers.choose_reader(now) != Some(reader) {
                 return;
             }
         }
@@ -188,21 +188,21 @@
     /// Lists or watches the store directly.
     async fn read(&mut self) {
         let sent = self.cx.now();
-        let at = self.cx.mirror.borrow().revision();
+        let after = self.cx.mirror.borrow().revision();
         let unseen = match self.cx.cfg.own_config {
             true => fleet::unseen_changes(&self.cx),
             false => Vec::new(),
         };
         let unseen: Vec<Revision> = unseen.iter().map(|c| c.revision).collect();
-        let answer = match self.listed {
+        let response = match self.listed {
             false => self.cx.store.list().await,
-            true => self.cx.store.watch(at, WATCH_WAIT).await,
+            true => self.cx.store.watch(after, WATCH_WAIT).await,
         };
-        match answer {
-            Ok(news) => self.on_answer(&news, sent, &unseen).await,
+        match response {
+            Ok(update) => self.on_answer(&update, sent, &unseen).await,
             Err(StoreError::HistoryGone | StoreError::Reverted) => {
                 self.cx.metrics.on_store_call("history_gone");
-                warn!(self.cx.log, "store history gone"; "after" => at.number, "era" => at.era.0);
+                warn!(self.cx.log, "store history gone"; "after" => after.number, "era" => after.era.0);
                 self.listed = false;
             }
             Err(e) => {
@@ -212,19 +212,19 @@
         }
     }
 
-    async fn on_answer(&mut self, news: &StoreUpdate, sent: Instant, unseen: &[Revision]) {
+    async fn on_answer(&mut self, update: &StoreUpdate, sent: Instant, unseen: &[Revision]) {
         let cx = &self.cx;
         cx.metrics.on_store_call("answered");
         self.backoff = FIRST_BACKOFF;
         let now = cx.now();
         let known = cx.mirror.borrow().revision();
-        if news.revision.era < known.era {
-            info!(cx.log, "response from an earlier store era"; "revision" => %news.revision, "known" => %known);
+        if update.revision.era < known.era {
+            info!(cx.log, "response from an earlier store era"; "revision" => %update.revision, "known" => %known);
             return;
         }
-        if news.revision < known {
+        if update.revision < known {
             // The mirror holds a revision that the store had before this call was sent.
-            warn!(cx.log, "store was set back"; "revision" => %news.revision, "known" => %known);
+            warn!(cx.log, "store was set back"; "revision" => %update.revision, "known" => %known);
             cx.mirror.borrow_mut().clear();
             if self.listed {
                 self.listed = false;
@@ -235,30 +235,30 @@
             cx.store_back_at.set(Some(now));
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
             discovery.on_store_available(now, Duration::ZERO);
-            let away = now.since(lost_at).as_millis() as u64;
-            info!(cx.log, "dependency regained"; "dependency" => "store", "away_ms" => away);
+            let outage_ms = now.since(lost_at).as_millis() as u64;
+            info!(cx.log, "dependency regained"; "dependency" => "store", "away_ms" => outage_ms);
         }
         let is_list = !self.listed;
-        let quiet = news.items.is_empty() && !is_list;
+        let is_empty = update.items.is_empty() && !is_list;
         self.listed = true;
-        take_news(cx, news, is_list, cx.cfg.peers);
+        take_news(cx, update, is_list, cx.cfg.peers);
         let is_lost = |change: &Arc<Change>| unseen.contains(&change.revision);
-        if is_list || quiet {
+        if is_list || is_empty {
             // A change that was in force before the call was sent would be part of the response.
             let mut lost = fleet::unseen_changes(cx);
             lost.retain(is_lost);
             fleet::mend_store(cx, lost).await;
         }
-        let proven = match now.since(sent) {
+        let confirmed_at = match now.since(sent) {
             // A watch that returned nothing confirms that no change was made before its wait ended.
-            waited if waited >= WATCH_WAIT && quiet => sent + WATCH_WAIT,
+            waited if waited >= WATCH_WAIT && is_empty => sent + WATCH_WAIT,
             _ => sent,
         };
         cx.freshness
             .borrow_mut()
-            .on_confirmed(proven, cx.stored_config());
-        cx.store_proven_at.set(Some(proven));
-        if !quiet && !is_list {
+            .on_confirmed(confirmed_at, cx.stored_config());
+        cx.store_proven_at.set(Some(confirmed_at));
+        if !is_empty && !is_list {
             tokio::time::sleep(WATCH_PAUSE).await;
         }
     }
@@ -294,7 +294,7 @@
 /// Reads the accepted changes again after an operator's change conflicted with another one.
 pub(super) async fn read_changes(cx: &Gateway) -> Result<(), StoreError> {
     cx.metrics.on_store_call("confirm");
-    let news = cx.store.list().await?;
-    take_own(cx, &news.items, false);
+    let update = cx.store.list().await?;
+    take_own(cx, &update.items, false);
     Ok(())
 }
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -22,22 +22,22 @@
 const TARGETS_NAMED: usize = 200;
 
 /// Applies an update from the store or from a reader.
-pub(super) fn take_news(cx: &Gateway, news: &StoreUpdate, is_list: bool, from: SocketAddr) {
+pub(super) fn take_news(cx: &Gateway, update: &StoreUpdate, is_list: bool, from: SocketAddr) {
     let now = cx.now();
     let known = cx.mirror.borrow().revision();
-    match news.revision.era {
+    match update.revision.era {
         // The response was in transit when this router learned of a later store era.
         era if era < known.era => return,
         era if era > known.era && known != StoreRevision::default() => {
-            on_set_back(cx, known, news.revision, from);
+            on_set_back(cx, known, update.revision, from);
         }
         _ => {}
     }
     {
         let mut mirror = cx.mirror.borrow_mut();
         match is_list {
-            true => mirror.on_list(news),
-            false => mirror.on_changes(news),
+            true => mirror.on_list(update),
+            false => mirror.on_changes(update),
         }
     }
     cx.mirror_changed.notify_waiters();
@@ -45,12 +45,12 @@
     cx.metrics.store_era.set(known.era.0.cast_signed());
     cx.metrics.store_revision.set(known.number.cast_signed());
     let is_first = !cx.dispatcher.borrow().discovery.is_loaded();
-    let saved = take_own(cx, &news.items, is_list);
+    let saved = take_own(cx, &update.items, is_list);
     if is_list {
         cx.stored_config.set(None);
     }
     let (mut list, mut evacuated, mut changes) = (Vec::new(), Vec::new(), Vec::new());
-    for item in news.items.iter().filter(|i| own::decode(i).is_none()) {
+    for item in update.items.iter().filter(|i| own::decode(i).is_none()) {
         let at = item.revision;
         match cx.store.decode(item) {
             Ok(StoreChange::Config(config)) => apply(cx, *config, from),
@@ -68,19 +68,19 @@
             Err(why) => not_understood(cx, item, &why),
         }
     }
-    on_changes(cx, now, changes, news.revision);
+    on_changes(cx, now, changes, update.revision);
     if is_list && !cx.cfg.own_config {
         let (halls, changes) = {
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
             // Evacuated halls are applied before targets, as a target of such a hall must not be used even
             // briefly.
-            let halls = discovery.on_hall_list(now, evacuated, news.revision);
-            (halls, discovery.on_list(now, list, news.revision))
+            let halls = discovery.on_hall_list(now, evacuated, update.revision);
+            (halls, discovery.on_list(now, list, update.revision))
         };
         for hall in halls {
-            log_hall(cx, &hall, news.revision);
+            log_hall(cx, &hall, update.revision);
         }
-        log_targets(cx, &changes, news.revision);
+        log_targets(cx, &changes, update.revision);
     }
     if let Some(saved) = saved {
         prompts::recall(cx, saved, is_first);
@@ -111,8 +111,8 @@
         discovery.take_settled(cx.now())
     };
     if is_settled {
-        let held = cx.mirror.borrow().list();
-        take_news(cx, &held, true, cx.cfg.peers);
+        let content = cx.mirror.borrow().list();
+        take_news(cx, &content, true, cx.cfg.peers);
     }
 }
 
@@ -120,7 +120,7 @@
 /// it. Returns the saved targets and prompts, which are to be applied after the list of targets.
 pub(super) fn take_own(cx: &Gateway, items: &[StoreItem], is_list: bool) -> Option<prompts::Saved> {
     let mut changes = Vec::new();
-    let mut recalled = None;
+    let mut saved_state = None;
     let own = items.iter().filter_map(|i| own::decode(i).map(|e| (i, e)));
     for (item, entry) in own {
         match entry {
@@ -128,7 +128,7 @@
                 cx.peers.borrow_mut().add_address(cx.now(), address);
             }
             Ok(OwnEntry::Prompts(saved)) if is_list => {
-                recalled = Some(prompts::decode(cx, &saved));
+                saved_state = Some(prompts::decode(cx, &saved));
             }
             Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.own_config => {
                 fleet::take_snapshot(cx, *snapshot);
@@ -156,7 +156,7 @@
     for change in changes {
         fleet::take_change(cx, change);
     }
-    recalled
+    saved_state
 }
 
 fn not_understood(cx: &Gateway, item: &StoreItem, why: &str) {
@@ -199,10 +199,10 @@
 /// whose instance ended are always logged.
 fn log_targets(cx: &Gateway, changes: &Changes, at: StoreRevision) {
     let is_many = changes.len() > TARGETS_NAMED;
-    for (id, verdict) in changes {
-        match is_many && !verdict.ends_instance() {
+    for (id, change) in changes {
+        match is_many && !change.ends_instance() {
             true => {}
-            false => log_target(cx, id, *verdict, at),
+            false => log_target(cx, id, *change, at),
         }
     }
     if is_many {
@@ -232,21 +232,21 @@
 pub(super) fn log_hall(cx: &Gateway, hall: &DataHall, at: StoreRevision) {
     let dispatcher = cx.dispatcher.borrow();
     let evacuations = dispatcher.discovery.evacuations();
-    let verdict = match evacuations.is_evacuated(hall) {
+    let state = match evacuations.is_evacuated(hall) {
         true => "evacuated",
         false => "taken back",
     };
     cx.metrics
         .halls_evacuated
         .set(evacuations.evacuated().count() as i64);
-    info!(cx.log, "data hall"; "data_hall" => %hall, "verdict" => verdict, "revision" => at.number,
+    info!(cx.log, "data hall"; "data_hall" => %hall, "verdict" => state, "revision" => at.number,
         "store_age_ms" => cx.store_age().map(|age| age.as_millis() as u64));
 }
 
 /// Logs the effect of a change on a target, and closes connections to an instance of it that ended.
-pub(super) fn log_target(cx: &Gateway, id: &TargetId, verdict: TargetChange, at: StoreRevision) {
-    if verdict.ends_instance() {
+pub(super) fn log_target(cx: &Gateway, id: &TargetId, change: TargetChange, at: StoreRevision) {
+    if change.ends_instance() {
         cx.conns.forget(id);
     }
-    info!(cx.log, "target"; "target" => %id, "verdict" => verdict.name(), "revision" => at.number);
+    info!(cx.log, "target"; "target" => %id, "verdict" => change.name(), "revision" => at.number);
 }
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -67,8 +67,8 @@
     fn read(method: &Method, path: &str) -> Option<Self> {
         let mut parts = path.trim_start_matches('/').splitn(2, '/');
         match (method, parts.next()?, parts.next()) {
-            (&Method::GET, "store", Some(asked)) => {
-                let (after, wait) = asked.split_once('/')?;
+            (&Method::GET, "store", Some(query)) => {
+                let (after, wait) = query.split_once('/')?;
                 let wait = Duration::from_millis(wait.parse().ok()?);
                 let after = after.parse().ok()?;
                 Some(Self::Store(after, wait.min(ASK_WAIT)))
@@ -111,11 +111,11 @@
 impl PeerConn {
     /// Connects to the router at `address`.
     pub(super) async fn open(address: SocketAddr) -> Result<Self, StoreError> {
-        let dial = TcpStream::connect(address);
-        let stream = tokio::time::timeout(CONNECT_TIMEOUT, dial).await;
+        let connect = TcpStream::connect(address);
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect).await;
         let stream = stream.map_err(no_answer)?.map_err(no_answer)?;
-        let shaken = client::conn::http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(no_answer)?;
+        let handshake = client::conn::http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(no_answer)?;
         tokio::task::spawn_local(async move {
             // When the connection ends, pending requests on it fail.
             let _ = connection.await;
@@ -145,30 +145,35 @@
             } else {
                 ANSWER_TIMEOUT
             };
-        let asked = Ask::Store(after, wait);
-        let (body, proof) = self.call_proven(asked, Bytes::new(), timeout).await?;
+        let request = Ask::Store(after, wait);
+        let (body, proof) = self.call_proven(request, Bytes::new(), timeout).await?;
         Ok((feed::decode(&body)?, proof))
     }
 
-    async fn call(&self, ask: Ask, body: Bytes, timeout: Duration) -> Result<Bytes, StoreError> {
-        let answer = self.call_proven(ask, body, timeout).await;
-        answer.map(|(body, _)| body)
+    async fn call(
+        &self,
+        request: Ask,
+        body: Bytes,
+        timeout: Duration,
+    ) -> Result<Bytes, StoreError> {
+        let response = self.call_proven(request, body, timeout).await;
+        response.map(|(body, _)| body)
     }
 
     async fn call_proven(
         &self,
-        ask: Ask,
+        request: Ask,
         body: Bytes,
         timeout: Duration,
     ) -> Result<(Bytes, Option<Proof>), StoreError> {
         let req = Request::builder()
-            .method(ask.method())
-            .uri(ask.path())
+            .method(request.method())
+            .uri(request.path())
             .header(hyper::header::HOST, "router")
             .body(Full::new(body))
             .map_err(garbled)?;
         let sent = self.sender.borrow_mut().send_request(req);
-        let answer = async {
+        let response = async {
             let res = sent.await.map_err(no_answer)?;
             let status = res.status();
             let proof = res.headers().get(PROOF).map(|p| read_proof(p.as_bytes()));
@@ -178,33 +183,33 @@
                 status => Err(StoreError::Rejected(status.as_u16())),
             }
         };
-        let answer = tokio::time::timeout(timeout, answer).await;
-        answer.map_err(no_answer)?
+        let response = tokio::time::timeout(timeout, response).await;
+        response.map_err(no_answer)?
     }
 }
 
-fn read_proof(told: &[u8]) -> Result<Proof, StoreError> {
-    serde_json::from_slice(told).map_err(garbled)
+fn read_proof(value: &[u8]) -> Result<Proof, StoreError> {
+    serde_json::from_slice(value).map_err(garbled)
 }
 
 /// Sends a step to the owner of the claim's shard, which records it.
 pub(super) async fn claim(
     cx: &Gateway,
-    keeper: SocketAddr,
+    owner: SocketAddr,
     step: ClaimStep,
 ) -> Result<ClaimVerdict, StoreError> {
     let body = postcard::to_stdvec(&step).map_err(garbled)?;
-    let conn = PeerConn::open(keeper).await?;
+    let conn = PeerConn::open(owner).await?;
     cx.metrics.claim_bytes.inc_by(body.len() as u64);
-    let answer = conn.call(Ask::Claim, body.into(), CLAIM_TIMEOUT).await?;
-    postcard::from_bytes(&answer).map_err(garbled)
+    let response = conn.call(Ask::Claim, body.into(), CLAIM_TIMEOUT).await?;
+    postcard::from_bytes(&response).map_err(garbled)
 }
 
 /// Sends an accepted change to another router, as JSON.
 pub(super) async fn change(peer: SocketAddr, body: Bytes) -> Result<(), StoreError> {
     let conn = PeerConn::open(peer).await?;
-    let answer = conn.call(Ask::Change, body, ANSWER_TIMEOUT).await;
-    answer.map(|_| ())
+    let response = conn.call(Ask::Change, body, ANSWER_TIMEOUT).await;
+    response.map(|_| ())
 }
 
 /// Requests the decisions on a call that another router has recorded.
@@ -213,9 +218,9 @@
     id: &str,
 ) -> Result<Vec<DecisionRecord>, StoreError> {
     let conn = PeerConn::open(address).await?;
-    let ask = Ask::Explain(id.to_owned());
-    let answer = conn.call(ask, Bytes::new(), ANSWER_TIMEOUT).await?;
-    serde_json::from_slice(&answer).map_err(garbled)
+    let request = Ask::Explain(id.to_owned());
+    let response = conn.call(request, Bytes::new(), ANSWER_TIMEOUT).await?;
+    serde_json::from_slice(&response).map_err(garbled)
 }
 
 fn no_answer(e: impl std::fmt::Display) -> StoreError {
@@ -249,10 +254,10 @@
 
 async fn answer(cx: &Gateway, req: Request<Incoming>) -> Response<AnswerBody> {
     let mut proof = None;
-    let answer = match Ask::read(req.method(), req.uri().path()) {
+    let result = match Ask::read(req.method(), req.uri().path()) {
         Some(Ask::Store(after, wait)) => match feed::newer(cx, after, wait).await {
-            Ok((body, proven)) => {
-                proof = proven;
+            Ok((body, response_proof)) => {
+                proof = response_proof;
                 Ok(body)
             }
             Err(e) => Err(e),
@@ -267,7 +272,7 @@
         }
         None => Err(garbled("unknown request")),
     };
-    match answer {
+    match result {
         Ok(bytes) => proven(Response::new(AnswerBody::whole(bytes)), proof),
         Err(e) => {
             let mut res = Response::new(AnswerBody::whole(e.to_string()));
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -60,14 +60,16 @@
 pub(super) fn recall(cx: &Gateway, saved: Saved, is_first: bool) {
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    let lapsed = match is_first && !cx.cfg.own_config {
+    let expired = match is_first && !cx.cfg.own_config {
         true => dispatcher.discovery.on_saved_targets(now, saved.targets),
         false => Vec::new(),
     };
-    for (service, held) in &saved.held {
-        dispatcher.admission.on_restored_slot_time(service, *held);
+    for (service, slot_time) in &saved.held {
+        dispatcher
+            .admission
+            .on_restored_slot_time(service, *slot_time);
     }
-    info!(cx.log, "restored saved prompts"; "parts" => saved.prompts.len(), "lapsed_targets" => lapsed.len());
+    info!(cx.log, "restored saved prompts"; "parts" => saved.prompts.len(), "lapsed_targets" => expired.len());
     for (id, tokens, target) in saved.prompts.part_locations() {
         let part = PromptPart { id, tokens };
         dispatcher.cache.on_peer(&target, part, false);
@@ -78,13 +80,13 @@
 pub(super) async fn save(cx: Rc<Gateway>) {
     loop {
         tokio::time::sleep(SAVE_EVERY).await;
-        let is_keeper = cx.peers.borrow().is_owner_of(cx.now(), "prompts");
+        let is_owner = cx.peers.borrow().is_owner_of(cx.now(), "prompts");
         let changed = cx.dispatcher.borrow_mut().cache.take_unsaved();
-        if !is_keeper || !changed {
+        if !is_owner || !changed {
             continue;
         }
-        let now_saved = snapshot(&cx);
-        let saved = match postcard::to_stdvec(&now_saved) {
+        let state = snapshot(&cx);
+        let result = match postcard::to_stdvec(&state) {
             Ok(bytes) if bytes.len() <= SAVED_LIMIT => cx.store.put(own::PROMPTS_KEY, bytes).await,
             Ok(bytes) => Err(StoreError::InvalidResponse(format!(
                 "{} bytes exceed the size limit of the saved prompts",
@@ -93,8 +95,8 @@
             Err(e) => Err(StoreError::InvalidResponse(e.to_string())),
         };
         cx.metrics.on_store_call("save");
-        if let Err(e) = saved {
-            info!(cx.log, "prompts not saved"; "parts" => now_saved.prompts.len(), "why" => %e);
+        if let Err(e) = result {
+            info!(cx.log, "prompts not saved"; "parts" => state.prompts.len(), "why" => %e);
         }
     }
 }
