--- a/src/edge/exchange.rs
+++ b/src/edge/exchange.rs
@@ -1,4 +1,4 @@
-//! Compares with other routers who there is, and takes in what they know.
+//! Compares the known members of the fleet with other routers, and applies the records that they send.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -14,10 +14,10 @@
     },
 };
 
-/// Peers that one log line names.
+/// Maximum number of peers that one log line names.
 const PEERS_NAMED: usize = 4;
 
-/// Compares with one other router after the other, for ever.
+/// Compares the known members with one other router after the other until the router ends.
 pub(super) async fn compare(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
     loop {
         let (to, step) = {
@@ -32,8 +32,9 @@
     }
 }
 
-/// Takes in what a datagram says of others, and answers its step of a comparison. `joined` is its sender if that came to
-/// life by it.
+/// Applies a datagram's records of other routers, and answers its step of a comparison.
+///
+/// `joined` is the sender of the datagram if this datagram made it a live peer.
 pub(super) fn on_datagram(
     cx: &Gateway,
     udp: &UdpSocket,
@@ -66,6 +67,7 @@
     }
 }
 
+/// Sends one step of a comparison.
 fn send(cx: &Gateway, udp: &UdpSocket, step: Exchange, echo: Option<Stamp>, to: SocketAddr) {
     let mut told = gossip::datagram(cx, Vec::new());
     told.exchange = Some(step);
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share, and the controller that starts them.
+//! The state that the parts of a gateway share, and the operations on it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -32,25 +32,25 @@
     units::{ConfigVersion, Instant},
 };
 
-/// What a program brings along.
+/// Dependencies that a program provides to a gateway.
 pub struct GatewayParts {
-    /// The checked settings.
+    /// Checked settings.
     pub cfg: GatewayConfig,
-    /// How callers and targets are spoken to.
+    /// Protocol between the router and its callers and targets.
     pub dialect: Rc<dyn Dialect>,
-    /// The platform's store.
+    /// Metadata store of the platform.
     pub store: Rc<dyn MetaStore>,
-    /// The time that its rules hang on.
+    /// Clock by which the gateway measures all timeouts and intervals.
     pub clock: Clock,
-    /// Spans of calls.
+    /// Recorder of the spans of calls.
     pub spans: Spans,
-    /// Where lines are logged.
+    /// Logger of the gateway.
     pub log: Logger,
-    /// Writes them out.
+    /// Writes out buffered log lines.
     pub flusher: LogFlusher,
 }
 
-/// One gateway.
+/// Shared state of a gateway.
 pub struct Gateway {
     pub(crate) cfg: GatewayConfig,
     pub(crate) dialect: Rc<dyn Dialect>,
@@ -73,30 +73,30 @@
     pub(crate) recent_calls: Cell<u32>,
     fleet_share: RefCell<FleetShare>,
     pub(crate) datagram_count: Cell<u64>,
-    /// Whether this router adds up counts for its data hall.
+    /// Whether this router aggregates counts for its data hall.
     pub(crate) adds_up: Cell<bool>,
     pub(crate) mirror: RefCell<StoreMirror>,
-    /// Wakes peers that wait for something newer than the mirror held.
+    /// Wakes requests of peers that wait for a newer state of the mirror.
     pub(crate) mirror_changed: Notify,
     pub(super) answers: RefCell<Answers>,
-    /// Since when the store does not answer this router.
+    /// Instant since which the store has not answered this router; `None` while it answers.
     pub(crate) store_lost_at: Cell<Option<Instant>>,
     /// Wakes calls that wait for the first configuration.
     pub(crate) config_arrived: Notify,
-    /// When the store last answered after it had not.
+    /// Instant at which the store last became available again.
     pub(crate) store_back_at: Cell<Option<Instant>>,
-    /// The youngest moment at which the store is known to have held what the mirror holds.
+    /// Latest instant at which the store is known to have held the contents of the mirror.
     pub(crate) store_proven_at: Cell<Option<Instant>>,
     life: RefCell<RouterLifecycle>,
     serving: RefCell<Option<Rc<ServingConfig>>>,
-    /// The number of the operators' configuration that the store was last known to hold.
+    /// Version of the operators' configuration that the store was last known to hold.
     pub(super) stored_config: Cell<Option<ConfigVersion>>,
     pub(crate) clock: Clock,
     wall_epoch_ms: u64,
 }
 
 impl Gateway {
-    /// One that knows nothing yet.
+    /// Creates a gateway without configuration, peers or targets.
     pub(super) fn new(parts: GatewayParts) -> Rc<Self> {
         let GatewayParts {
             cfg,
@@ -108,7 +108,8 @@
             flusher,
         } = parts;
         let since_unix = SystemTime::now().duration_since(UNIX_EPOCH);
-        // The time of day only tells one life from the next, and orders what `explain` shows.
+        // The time of day only distinguishes incarnations of this router, and orders the decisions that
+        // `explain` shows.
         let wall_epoch_ms = since_unix.map_or(0, |d| d.as_millis() as u64);
         let dispatcher = Dispatcher::new(cfg.data_hall.clone(), &cfg.rules);
         let peers = Peers::new(
@@ -157,12 +158,12 @@
         })
     }
 
-    /// The settings; ports that were 0 are the real ones here.
+    /// Returns the settings, in which a port of 0 is replaced by the port that the system assigned.
     pub fn config(&self) -> &GatewayConfig {
         &self.cfg
     }
 
-    /// Whether the balancer may send callers here.
+    /// Returns whether the load balancer may send callers to this VM.
     pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving
             && self.serving().is_some()
@@ -170,32 +171,32 @@
             && self.may_use_keys(self.now())
     }
 
-    /// The last change of the operators' own configuration that is in force here.
+    /// Returns the revision of the operators' configuration that is in force at this router.
     pub fn revision(&self) -> Revision {
         self.fleet.revision()
     }
 
-    /// Older histories of the store that were not taken.
+    /// Returns the number of older histories of the store that were rejected.
     pub fn reverts_refused(&self) -> u64 {
         self.fleet.reverts_refused()
     }
 
-    /// Bytes of datagrams to other routers so far.
+    /// Returns the number of bytes of datagrams sent to other routers so far.
     pub fn control_bytes(&self) -> u64 {
         self.metrics.datagram_bytes.get()
     }
 
-    /// Bytes of claims that were sent to other routers so far.
+    /// Returns the number of bytes of claims sent to other routers so far.
     pub fn claim_bytes(&self) -> u64 {
         self.metrics.claim_bytes.get()
     }
 
-    /// Spans of hops so far.
+    /// Returns the number of spans begun so far, one per hop of a call.
     pub fn hop_spans(&self) -> u64 {
         self.spans.begun()
     }
 
-    /// Puts changed bounds and addresses of other routers in force.
+    /// Applies changed rules, and adds changed addresses of other routers.
     pub(crate) fn reload(&self, cfg: &GatewayConfig) {
         let now = self.now();
         self.rules.set(cfg.rules);
@@ -206,38 +207,38 @@
         info!(self.log, "reload"; "outcome" => "in force", "rules" => ?cfg.rules);
     }
 
-    /// The time since the gateway began.
+    /// Returns the time since the gateway started.
     pub(crate) fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Which life of this VM's router it is.
+    /// Returns the incarnation of this VM's router.
     pub(crate) fn life_number(&self) -> Incarnation {
         Incarnation(self.wall_epoch_ms)
     }
 
-    /// Where a planned stop has come to.
+    /// Returns the phase of the router's lifecycle.
     pub(crate) fn phase(&self) -> Phase {
         self.life.borrow().phase()
     }
 
-    /// Goes on with a planned stop.
+    /// Advances the router's lifecycle by an event of a planned stop.
     pub(crate) fn on_life(&self, event: RouterEvent) {
         self.life.borrow_mut().handle(event);
     }
 
-    /// Keeps a decision on a call for `explain`.
+    /// Records a decision on a call for `explain`.
     pub(crate) fn note(&self, call: &str, decision: impl FnOnce() -> Decision) {
         let at_ms = self.wall_epoch_ms + self.now().0.as_millis() as u64;
         self.explain.record(at_ms, call, decision);
     }
 
-    /// The configuration in force; `None` before the first.
+    /// Returns the configuration in force, or `None` before the first one arrived.
     pub(crate) fn serving(&self) -> Option<Rc<ServingConfig>> {
         self.serving.borrow().clone()
     }
 
-    /// The number of the configuration that the store holds, as it is known here.
+    /// Returns the version of the configuration that the store holds, as far as this router knows.
     pub(crate) fn stored_config(&self) -> Option<ConfigVersion> {
         match self.cfg.own_config {
             true => Some(ConfigVersion(fleet::newest_stored(self).0)),
@@ -245,13 +246,13 @@
         }
     }
 
-    /// What callers may send.
+    /// Returns the limits on what callers may send.
     pub(crate) fn caller_limits(&self) -> CallerLimits {
         let serving = self.serving();
         serving.map_or(self.cfg.callers_rules.limits, |c| c.limits)
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
+    /// Applies a configuration if it is newer than the one in force, and returns whether it was applied.
     pub(crate) fn apply(&self, config: ServingConfig) -> bool {
         let version = config.version;
         let mut serving = self.serving.borrow_mut();
@@ -267,21 +268,21 @@
         newer
     }
 
-    /// Whether a key that the configuration holds may be relied on for a call read at `at`.
+    /// Returns whether the configuration is fresh enough to accept its keys for a call read at `at`.
     pub(crate) fn may_use_keys(&self, at: Instant) -> bool {
         let freshness = self.freshness.borrow();
         let bound = self.rules.get().revoke_bound;
         bound.is_none_or(|bound| freshness.may_use_keys(at, bound))
     }
 
-    /// A call for a service came in; it counts for this router's share of the retry budget.
+    /// Counts a received call of a service, from which this router's share of the retry budget is computed.
     pub(crate) fn count_call(&self, now: Instant, service: &ServiceName) {
         self.recent_calls
             .set(self.recent_calls.get().saturating_add(1));
         self.dispatcher.borrow_mut().budget.on_call(now, service);
     }
 
-    /// This router's part of what the fleet may repeat.
+    /// Returns this router's share of the fleet's retry budget.
     pub(crate) fn usable_share(&self, now: Instant) -> f64 {
         let window = self.rules.get().budget.window;
         let share = self.peers.borrow().call_share(now, self.recent_calls.get());
@@ -290,19 +291,21 @@
         fleet_share.usable(now, window)
     }
 
-    /// How long ago this router itself heard from the store, if it reads the store itself.
+    /// Returns the age of the store's last confirmation of this router's mirror, or `None` if it is too
+    /// old for a router that reads the store itself.
     pub(crate) fn store_age(&self) -> Option<Duration> {
         let now = self.now();
         let age = self.store_proven_at.get().map(|at| now.since(at));
         age.filter(|age| *age < READS_STORE)
     }
 
-    /// Whether this router reads the store itself.
+    /// Returns whether this router reads the store itself.
     pub(crate) fn reads_store(&self) -> bool {
         self.store_lost_at.get().is_none() && self.store_age().is_some()
     }
 
-    /// How many connections to one target this router may have, of `most` in all.
+    /// Returns the number of connections to one target that this router may have, if the fleet may have
+    /// `most`.
     pub(crate) fn conn_share(&self, most: u32) -> usize {
         let routers = self.peers.borrow().live_count(self.now());
         let share = (most as usize).saturating_mul(CONN_PART) / 100 / routers;
@@ -310,13 +313,13 @@
     }
 }
 
-/// How long after it last heard from the store a router still counts as reading it: a watch that
-/// waits, its pause, and some delay.
+/// Maximum age of the store's last confirmation at which a router counts as reading the store: the wait
+/// of a watch, the pause after it, and some delay.
 const READS_STORE: Duration = Duration::from_millis(1_400);
 
-/// The part of a target's connections that the fleet uses, in per cent: routers may not know of
-/// one another for a moment.
+/// Percentage of a target's connections that the fleet uses: routers may temporarily not know of one
+/// another.
 const CONN_PART: usize = 80;
 
-/// Connections that a router may always have to a target.
+/// Minimum number of connections to a target that each router may have.
 const CONN_LEAST: usize = 2;
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between routers: sends what this one knows, takes in what others tell.
+//! Datagrams between routers: sends the state of this router, and applies that of its peers.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -27,24 +27,26 @@
     units::Instant,
 };
 
-/// How often half of the counted calls is forgotten, so that the share of the retry budget follows
-/// the last ten seconds or so without jumping.
+/// Interval at which the count of recent calls is halved, so that the share of the retry budget follows
+/// approximately the last ten seconds without jumping.
 const CALLS_HALVE: Duration = Duration::from_secs(10);
 
-/// The largest datagram that is read, in bytes: the sums of some thousand targets, and below what
-/// UDP can carry.
+/// Maximum size in bytes of a datagram that is read: it fits the sums of some thousand targets, and is
+/// below the limit of UDP.
 const DATAGRAM_LIMIT: usize = 60 << 10;
 
-/// How long after its start a router sends joining peers no hints of prompts: what it knows has just come from
-/// others, and routers that start together would send all of it to one another. The hints that it sent until then it
-/// sends once more: by then all of such a fleet have found one another, and their hubs.
+/// Time after its start during which a router does not send prompt parts to peers that join.
+///
+/// The router itself has just received what it knows from others, and routers that start together would
+/// send all of it to one another. Afterwards, it repeats the announcements that it sent during this time:
+/// by then the routers of a fleet that started together have found one another, and their hubs.
 const TEACHES_AFTER: Duration = Duration::from_secs(3);
 
-/// Parts of prompts that one datagram tells of: some kilobytes. A hub passes on what all routers of
-/// its data hall tell, thousands in the first seconds of a day.
+/// Maximum number of prompt parts in one datagram, which take some kilobytes. A hub forwards the parts
+/// that all routers of its data hall announce, thousands in the first seconds of a day.
 const PARTS_TOLD: usize = 240;
 
-/// When what was last told.
+/// Instants at which each kind of state was last sent.
 struct Told {
     close: Instant,
     rates: RatesDue,
@@ -53,8 +55,8 @@
     shares: Instant,
 }
 
-/// Sends counts, news of prompts and the age of the configuration, over and over as they change: to all peers of a small
-/// fleet or to the hubs of a large one.
+/// Sends counts, announcements of prompt parts and the age of the configuration periodically as they
+/// change, to all peers of a small fleet or to the hubs of a large one.
 pub(super) async fn tell(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
     let now = cx.now();
     let mut last = Told {
@@ -110,8 +112,8 @@
     }
 }
 
-/// Sends one datagram to each peer; in a large fleet it says only that this router stops, as all else goes
-/// through hubs.
+/// Sends one datagram to each peer. In a large fleet it announces only that this router stops, because
+/// everything else is sent through hubs.
 pub(super) fn send_to_all(cx: &Gateway, udp: &UdpSocket, rates: &[RateReport]) {
     let is_large = cx.peers.borrow().is_large(cx.now());
     let mut told = datagram(cx, news_of_prompts(cx));
@@ -123,8 +125,8 @@
     }
 }
 
-/// Sends to the hubs; if this router adds up for its data hall, sums to all that wait for them, with who lives and what
-/// accounts send.
+/// Sends a datagram to the hubs. If this router aggregates for its data hall, sends the sums to all
+/// routers that need them, with digests of the live routers and rates of the accounts.
 fn send_to_close_ones(cx: &Gateway, udp: &UdpSocket, rates: &Rates) {
     let now = cx.now();
     let mut told = datagram(cx, news_of_prompts(cx));
@@ -157,7 +159,8 @@
     }
 }
 
-/// Sends hints of prompts, of outages and of requests under which targets ended ahead of counts, if there are any.
+/// Sends hints of prompt parts, outages and requests under which targets crashed ahead of counts, if
+/// there are any.
 fn send_hints(cx: &Gateway, udp: &UdpSocket) {
     let hints = news_of_prompts(cx);
     let outages = (cx.dispatcher.borrow_mut().health.outages).take_unannounced();
@@ -172,20 +175,21 @@
     }
 }
 
+/// Takes the announcements of prompt parts for the next datagram.
 fn news_of_prompts(cx: &Gateway) -> Vec<PartLocation> {
     let young = cx.now().0 < TEACHES_AFTER;
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher.cache.take_announcements(PARTS_TOLD, young)
 }
 
-/// Tells the keepers of accounts what is needed of their limits here.
+/// Requests shares of the accounts' limits from the owners of the accounts.
 fn ask_for_shares(cx: &Gateway, udp: &UdpSocket) {
     for (keeper, ask) in accounts::asks(cx) {
         send_message(cx, udp, &ask, keeper);
     }
 }
 
-/// Tells a peer that joined all parts of prompts that are known to be read, if that is this router's to do.
+/// Sends a peer that joined all known prompt parts, if this router is responsible for that.
 pub(super) fn teach(cx: &Gateway, udp: &UdpSocket, joined: &VmId, address: SocketAddr) {
     let now = cx.now();
     if now.0 < TEACHES_AFTER || !cx.peers.borrow_mut().take_sync_duty(now, joined) {
@@ -218,10 +222,11 @@
     };
     cx.metrics.datagrams_sent.inc();
     cx.metrics.datagram_bytes.inc_by(bytes.len() as u64);
-    // A datagram that is not sent is like one that is lost: the next one tells all again.
+    // A datagram that fails to send is treated like a lost one: the next one repeats the state.
     let _ = udp.try_send_to(&bytes, address);
 }
 
+/// Creates a datagram with the state of this router and announcements of prompt `parts`.
 pub(super) fn datagram(cx: &Gateway, parts: Vec<PartLocation>) -> Datagram {
     let now = cx.now();
     let freshness = cx.freshness.borrow();
@@ -264,12 +269,12 @@
     }
 }
 
-/// Takes in datagrams for ever.
+/// Receives datagrams until the router ends.
 pub(super) async fn receive(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
     let mut buf = vec![0; DATAGRAM_LIMIT];
     loop {
         let Ok((len, from)) = udp.recv_from(&mut buf).await else {
-            // A peer's port that is closed is told here; it concerns only that peer.
+            // The system reports a peer's closed port as an error here; it concerns only that peer.
             continue;
         };
         match postcard::from_bytes::<Message>(&buf[..len]) {
@@ -285,7 +290,7 @@
                 }
             }
             Ok(Message::ShareGrant { account, grant }) => accounts::on_grant(&cx, &account, grant),
-            Err(e) => debug!(cx.log, "datagram not understood"; "from" => %from, "why" => %e),
+            Err(e) => debug!(cx.log, "datagram not decoded"; "from" => %from, "why" => %e),
         }
     }
 }
@@ -299,7 +304,7 @@
         DatagramEffect::Known => None,
     };
     if joined.is_some() && told.echo.is_none() {
-        // It may not know this router yet.
+        // The peer may not know this router yet.
         let mut welcome = datagram(cx, Vec::new());
         welcome.echo = Some(told.sent);
         send_to(cx, udp, &welcome, from);
@@ -328,7 +333,7 @@
     match postcard::from_bytes::<HallSums>(&told.halls) {
         Ok(sums) => dispatcher.load.on_hall_sums(now, sums),
         Err(_) if told.halls.is_empty() => {}
-        Err(e) => debug!(cx.log, "sums not understood"; "from" => %from, "why" => %e),
+        Err(e) => debug!(cx.log, "sums not decoded"; "from" => %from, "why" => %e),
     }
     let passed_on = cx.adds_up.get();
     for (id, tokens, target) in told.parts {
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -1,4 +1,4 @@
-//! Listens for callers, for the balancer's question whether this VM is ready, and for scrapers.
+//! Serves connections of callers, readiness checks of the load balancer, and scrapers of metrics.
 
 use std::{cell::Cell, convert::Infallible, rc::Rc, time::Duration};
 
@@ -15,34 +15,35 @@
 use super::{body::AnswerBody, call, conn::prepare, gateway::Gateway};
 use crate::lifecycle::Phase;
 
-/// The pause after a connection that could not be accepted, for want of descriptors most likely.
+/// Pause after a connection could not be accepted, most likely because the process is out of file
+/// descriptors.
 pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long after its allowed rest a caller's connection is closed; callers that keep to the rest
-/// never meet the close.
+/// Time by which a caller's connection may exceed the idle timeout before it is closed, so that callers
+/// that keep to the timeout never encounter the close.
 const IDLE_SLACK: Duration = Duration::from_millis(500);
 
-/// How often a resting connection's time is looked at; the allowed rest may change.
+/// Interval at which a connection is checked for the idle timeout, which may change meanwhile.
 const IDLE_CHECK: Duration = Duration::from_secs(1);
 
-/// The least buffer that the server side of the HTTP library takes, in bytes.
+/// Minimum buffer size in bytes that the server side of the HTTP library accepts.
 const LEAST_BUFFER: usize = 8 << 10;
 
-/// The longest that a head may take to arrive on a connection that has just opened or rests;
-/// resting is bounded apart from it.
+/// Maximum time for a request head to arrive on a connection that was just opened or is idle. The idle
+/// time is limited separately.
 const LONGEST_HEAD: Duration = Duration::from_mins(2);
 
-/// Accepts callers until the process ends.
+/// Accepts connections of callers until the process ends.
 pub(super) async fn serve_callers(cx: Rc<Gateway>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0_usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            warn!(cx.log, "caller not accepted"; "open" => open.get());
+            warn!(cx.log, "caller connection not accepted"; "open" => open.get());
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         if open.get() >= cx.cfg.max_connections {
-            warn!(cx.log, "caller turned away"; "open" => open.get());
+            warn!(cx.log, "caller connection rejected, too many open"; "open" => open.get());
             continue;
         }
         open.set(open.get() + 1);
@@ -54,7 +55,7 @@
     }
 }
 
-/// Whether a connection has a call in progress, and since when it rests.
+/// Whether a connection has a call in progress, and since when it is idle.
 #[derive(Default)]
 struct Rest {
     busy: Cell<bool>,
@@ -88,7 +89,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // A connection that breaks ends its own call; there is nobody to tell.
+        // A broken connection ends its own call, and the error can't be sent to the caller.
         _ = connection.as_mut() => return,
         () = until_rested(&cx, &rest) => {}
     }
@@ -96,7 +97,7 @@
     let _ = connection.await;
 }
 
-/// Ends when the connection has rested longer than callers may let it, or a stop wants it closed.
+/// Waits until the connection exceeds the idle timeout, or until a planned stop closes it.
 async fn until_rested(cx: &Gateway, rest: &Rest) {
     loop {
         let pause = match cx.phase() {
@@ -116,7 +117,7 @@
     }
 }
 
-/// Answers whether this VM is ready for callers.
+/// Serves readiness checks: whether this VM is ready for callers.
 pub(super) async fn serve_ready(cx: Rc<Gateway>, listener: TcpListener) {
     serve_small(listener, move || {
         let status = match cx.is_ready() {
@@ -128,12 +129,12 @@
     .await;
 }
 
-/// Tells the figures.
+/// Serves the metrics.
 pub(super) async fn serve_metrics(cx: Rc<Gateway>, listener: TcpListener) {
     serve_small(listener, move || (StatusCode::OK, cx.metrics.text())).await;
 }
 
-/// Answers every request with what a function says at that moment.
+/// Answers every request with the status and text that `answer` returns for it.
 async fn serve_small(listener: TcpListener, answer: impl Fn() -> (StatusCode, String) + 'static) {
     let answer = Rc::new(answer);
     loop {
@@ -149,7 +150,7 @@
                 *res.status_mut() = status;
                 async move { Ok::<_, Infallible>(res) }
             });
-            // Whoever asked and left needs no answer.
+            // A client that disconnected needs no response.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -1,4 +1,4 @@
-//! A gateway from its sockets to the tasks that serve them.
+//! Opens the sockets of a gateway and starts the tasks that serve them.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,7 +17,7 @@
 };
 use crate::{Error, Result};
 
-/// A gateway that listens and does not serve yet.
+/// A gateway whose sockets are open but not served yet.
 pub struct Listening {
     gateway: Rc<Gateway>,
     callers: TcpListener,
@@ -29,12 +29,12 @@
 }
 
 impl Listening {
-    /// The gateway; its settings name the real ports where they were 0.
+    /// Returns the gateway. Its settings contain the ports that the system assigned in place of 0.
     pub fn gateway(&self) -> Rc<Gateway> {
         Rc::clone(&self.gateway)
     }
 
-    /// Follows the store and serves until a planned stop is complete. Runs within a `LocalSet`.
+    /// Follows the store and serves until a planned stop is complete. Must run within a `LocalSet`.
     pub async fn serve(self, signals: Signals) -> StopReport {
         let cx = self.gateway;
         let udp = Rc::new(self.udp);
@@ -66,7 +66,9 @@
 }
 
 impl Gateway {
-    /// Listens where the settings say; errors are those of the addresses.
+    /// Opens the sockets that the settings specify.
+    ///
+    /// Fails if one of the addresses can't be listened on, except for that of the metrics.
     pub async fn listen(mut parts: GatewayParts) -> Result<Listening> {
         let cfg = &mut parts.cfg;
         let callers = listen(&mut cfg.callers).await?;
@@ -96,7 +98,7 @@
     }
 }
 
-/// How often what is too old is dropped, and gathered lines are written out.
+/// Interval at which expired state is dropped and buffered log lines are written out.
 const TICK: Duration = Duration::from_millis(100);
 
 async fn tick(cx: Rc<Gateway>) {
@@ -112,7 +114,7 @@
         withdrawals::on_tick(&cx);
         for target in gone {
             cx.conns.forget(&target);
-            info!(cx.log, "target"; "target" => %target, "verdict" => "gone", "why" => "still missing after the store's return");
+            info!(cx.log, "target"; "target" => %target, "verdict" => "gone", "why" => "still missing after the store became available again");
         }
         for (service, held) in cx.dispatcher.borrow().admission.mean_slot_times() {
             cx.metrics.on_held(service, held);
@@ -135,18 +137,19 @@
     }
 }
 
-/// Callers are served also where nobody can read the figures.
+/// Opens the listener for metrics. A failure is only logged, because callers are served without metrics
+/// as well.
 async fn listen_for_metrics(address: &mut SocketAddr, log: &Logger) -> Option<TcpListener> {
     match listen(address).await {
         Ok(listener) => Some(listener),
         Err(e) => {
-            warn!(log, "no figures"; "why" => %e);
+            warn!(log, "metrics are not served"; "why" => %e);
             None
         }
     }
 }
 
-/// Listens at an address, and notes the real port there.
+/// Listens at an address, and replaces it by the one that the system assigned.
 async fn listen(address: &mut SocketAddr) -> Result<TcpListener> {
     let wanted = *address;
     let fault = |source| Error::Listen {
--- a/src/edge/metrics.rs
+++ b/src/edge/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one gateway, in the text form that scrapers read.
+//! Counters and histograms of a gateway, in the text format that scrapers read.
 
 use std::{cell::Cell, fmt::Write, time::Duration};
 
@@ -10,29 +10,29 @@
 
 use crate::ids::ServiceName;
 
-/// Upper bounds of the histograms' buckets, in seconds: from a plain call's usual time to the
+/// Upper bounds of the histogram buckets in seconds, from the typical duration of a plain call to the
 /// longest deadline.
 const BUCKETS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0];
 
-/// The label of a call's end.
+/// Label for the result of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct CodeLabel {
     code: &'static str,
 }
 
-/// The label of an attempt's end, or of a reason.
+/// Label for the result of an attempt, or for a reason.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ReasonLabel {
     reason: &'static str,
 }
 
-/// The label of what is learned of a service.
+/// Label for a value that is measured per service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ServiceLabel {
     service: String,
 }
 
-/// All figures.
+/// All metrics of a gateway.
 pub(crate) struct Metrics {
     registry: Registry,
     calls: Family<CodeLabel, Counter>,
@@ -196,7 +196,8 @@
         );
     }
 
-    /// A call ended with a code; 0 stands for a target's answer.
+    /// Records the end of a call by the name and number of its result code; the number is 0 if a target
+    /// answered.
     pub(crate) fn on_call(&self, name: &'static str, number: u16, took: Duration) {
         self.calls.get_or_create(&CodeLabel { code: name }).inc();
         self.call_time.observe(took.as_secs_f64());
@@ -207,22 +208,22 @@
         count.set(count.get() + 1);
     }
 
-    /// Calls that a target answered.
+    /// Returns the number of calls that a target answered.
     pub(crate) fn answered(&self) -> u64 {
         self.answered.get()
     }
 
-    /// Calls that ended otherwise.
+    /// Returns the number of calls that ended in any other way.
     pub(crate) fn refused(&self) -> u64 {
         self.refused.get()
     }
 
-    /// Calls to the store.
+    /// Returns the number of calls to the store.
     pub(crate) fn store_calls(&self) -> u64 {
         self.store_call_count.get()
     }
 
-    /// How long a call holds a slot of the service's targets.
+    /// Sets the time for which a call occupies a slot of the service's targets.
     pub(crate) fn on_held(&self, service: &ServiceName, held: Duration) {
         let label = ServiceLabel {
             service: service.to_string(),
@@ -231,7 +232,7 @@
         gauge.set(held.as_millis() as i64);
     }
 
-    /// So many targets leave, and so many want no calls for a while.
+    /// Sets the number of targets that are leaving, and of those that accept no calls for a while.
     pub(crate) fn on_withdrawn(&self, leaving: usize, backed_off: usize) {
         for (reason, n) in [("leaving", leaving), ("backoff", backed_off)] {
             let gauge = self.withdrawn.get_or_create(&ReasonLabel { reason });
@@ -239,12 +240,12 @@
         }
     }
 
-    /// A caller that found no room was asked back after a pause.
+    /// Records the delay after which a caller that was refused for lack of capacity should retry.
     pub(crate) fn on_no_room(&self, pause: Duration) {
         self.refused_pause.observe(pause.as_secs_f64());
     }
 
-    /// A target was chosen by counts of others' calls of this age, on average.
+    /// Records the mean age of the other routers' call counts by which a target was chosen.
     pub(crate) fn on_choice(&self, counted_ago: Duration) {
         self.counts_age.observe(counted_ago.as_secs_f64());
     }
@@ -263,11 +264,11 @@
         self.store_call_count.set(self.store_call_count.get() + 1);
     }
 
-    /// All figures as text.
+    /// Returns all metrics as text.
     pub(crate) fn text(&self) -> String {
         let mut out = String::new();
         if let Err(e) = encode(&mut out, &self.registry) {
-            // Writing into a string does not fail; if it did, the reader is told.
+            // Writing into a string does not fail. If it did, the text would say so.
             let _ = writeln!(out, "# encoding failed: {e}");
         }
         out
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,6 +1,6 @@
-//! The gateway: callers' HTTP in, targets' HTTP out, sent directly.
+//! The gateway, which accepts HTTP requests of callers and sends them directly to targets.
 //!
-//! Everything runs on one thread. Decisions are synchronous types (`dispatcher`, `freshness`,
+//! Everything runs on one thread. Decisions are made by synchronous types (`dispatcher`, `freshness`,
 //! `peers`, `config`, `claims`, `limits`); the modules here do the input and output around them.
 
 mod accounts;
@@ -51,61 +51,61 @@
     settings::OperatorToken,
 };
 
-/// What a gateway needs to know; resolved and checked by settings or by an adapter.
+/// Configuration of a gateway, resolved and checked by the settings or by an adapter.
 #[derive(Debug, Clone)]
 pub struct GatewayConfig {
-    /// This VM.
+    /// Identifier of this VM.
     pub vm: VmId,
-    /// The region it stands in, where that is told.
+    /// Region of this VM, if configured.
     pub region: Option<Region>,
-    /// The data hall it stands in.
+    /// Data hall of this VM.
     pub data_hall: DataHall,
-    /// What its link and processor can bear.
+    /// Capacity class of this VM's network link and processor.
     pub strength: CapacityClass,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this VM is ready, if it does so on a port of its own.
+    /// Address at which the load balancer checks whether this VM is ready, if it uses a separate port.
     pub ready: Option<SocketAddr>,
-    /// Where counters and histograms are read, if anywhere.
+    /// Address at which counters and histograms are scraped, if any.
     pub metrics: Option<SocketAddr>,
-    /// Where operators connect, and by which tokens they are known.
+    /// Address at which operators connect, and the tokens that authenticate them.
     pub operators: Option<(SocketAddr, Vec<OperatorToken>)>,
-    /// Where peers send datagrams, and ask what the store holds.
+    /// Address to which peers send datagrams and requests for the contents of the store.
     pub peers: SocketAddr,
-    /// Where some other routers may be reached at first.
+    /// Initial addresses of some other routers.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole fleet starts for the first time.
     pub start: FleetStart,
-    /// The most connections of callers that this VM may have open.
+    /// Maximum number of open connections of callers at this VM.
     pub max_connections: usize,
-    /// The most calls that it takes at once.
+    /// Maximum number of calls in progress at this VM.
     pub max_calls: usize,
-    /// Whether changes that operators confirm here are in force; else the configuration that the
-    /// adapter decodes.
+    /// Whether the configuration consists of changes that operators confirm at the routers; otherwise it
+    /// is the one that the adapter decodes.
     pub own_config: bool,
-    /// Bounds on callers; the limits hold until a configuration brings others.
+    /// Rules for callers. The limits apply until a configuration provides others.
     pub callers_rules: CallerRules,
-    /// Decisions that are kept for `explain`.
+    /// Maximum number of decisions that are kept for `explain`.
     pub explain_kept: usize,
-    /// What may change while the gateway runs.
+    /// Rules that may change while the gateway runs.
     pub rules: Rules,
 }
 
-/// Bounds that may change while a gateway runs.
+/// Rules that may change while a gateway runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// How long after its revocation a key may still work; `None` where keys are relied on however
-    /// long the store is away.
+    /// Maximum time for which a revoked key may still work; `None` if keys are accepted regardless of how
+    /// long the store is unavailable.
     pub revoke_bound: Option<Duration>,
-    /// How many times the mean load a target may carry.
+    /// Maximum load of a target, as a multiple of the mean load.
     pub cap_factor: f64,
-    /// The fleet's budget of repeats.
+    /// Retry budget of the fleet.
     pub budget: BudgetRule,
-    /// What cold targets may get at the most.
+    /// Upper bound on the calls that are sent to cold targets.
     pub cold: ColdRule,
-    /// How long callers are still taken after a planned stop was asked for, until the balancer
-    /// knows.
+    /// Time for which callers are still accepted after a planned stop was requested, so that the load
+    /// balancer can detect it.
     pub serve_on: Duration,
-    /// How long a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub stop_time: Duration,
 }
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' side: status, explain, plans and confirmations over HTTP and JSON.
+//! The operators' API: status, explain, plans and confirmations over HTTP and JSON.
 
 use std::rc::Rc;
 
@@ -17,10 +17,10 @@
     settings::OperatorToken,
 };
 
-/// The largest body that an operator may send.
+/// Maximum size in bytes of a request body that an operator may send.
 const BODY_LIMIT: usize = 4 << 20;
 
-/// Accepts operators until the router ends.
+/// Accepts connections of operators until the router ends.
 pub(super) async fn serve(cx: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
@@ -37,7 +37,7 @@
             .header_read_timeout(cx.cfg.callers_rules.limits.header_timeout)
             .serve_connection(TokioIo::new(socket), service);
         tokio::task::spawn_local(async move {
-            // An operator that leaves asks again.
+            // An operator whose connection breaks can repeat the request.
             let _ = connection.await;
         });
     }
@@ -69,7 +69,9 @@
     }
 }
 
-/// The name of the operator whose token a request shows; every token is compared.
+/// Returns the name of the operator whose token the request presents.
+///
+/// Each comparison takes constant time, so that it reveals nothing about a token.
 fn operator(cx: &Gateway, req: &Request<Incoming>) -> Option<String> {
     let header = req.headers().get(hyper::header::AUTHORIZATION)?;
     let shown = header.to_str().ok()?.strip_prefix("Bearer ")?;
--- a/src/edge/stop.rs
+++ b/src/edge/stop.rs
@@ -1,5 +1,7 @@
-//! The planned stop: not ready at once, callers served on, new calls refused late, an end when
-//! nothing is left.
+//! The planned stop of a router.
+//!
+//! The router reports at once that it is not ready, but continues to serve callers for a while. Then it
+//! refuses new calls, and ends when none are in progress.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,46 +11,46 @@
 use super::{GatewayConfig, gateway::Gateway, gossip};
 use crate::lifecycle::RouterEvent;
 
-/// The part of the stop's time after which it ends whatever is left.
+/// Fraction of the stop's maximum duration after which remaining calls are cut off.
 const LAST_PART: f64 = 0.95;
 
-/// How often a stop looks whether work is left.
+/// Interval at which a stop checks whether calls are still in progress.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// The longest that a stop waits for the last lines to be written out.
+/// Time for which a stop waits for the last log lines to be written out.
 const LAST_LINES: Duration = Duration::from_millis(50);
 
-/// What the process is told from outside.
+/// Signals that the process receives from outside.
 pub struct Signals {
-    /// A planned stop is asked for.
+    /// Requests for a planned stop.
     pub stop: mpsc::Receiver<()>,
-    /// The settings changed.
+    /// Settings that changed.
     pub reload: mpsc::Receiver<GatewayConfig>,
 }
 
-/// What a planned stop came to.
+/// Outcome of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub struct StopReport {
-    /// Calls that were in progress when the router took no more.
+    /// Number of calls in progress when the router began to refuse new ones.
     pub in_progress: u64,
-    /// Those that were cut off as the time was up.
+    /// Number of calls that were cut off because the time limit was reached.
     pub cut_off: u64,
-    /// How long it took, in milliseconds.
+    /// Duration of the stop in milliseconds.
     pub took_ms: u64,
 }
 
-/// Waits for the signal, then for the end of the stop.
+/// Waits for the signal to stop, then runs the planned stop to its end.
 pub(super) async fn wait(cx: &Rc<Gateway>, mut signals: Signals, udp: &UdpSocket) -> StopReport {
     loop {
         tokio::select! {
             Some(()) = signals.stop.recv() => break,
             Some(cfg) = signals.reload.recv() => cx.reload(&cfg),
-            // Nobody can ask for anything any more: serve on.
+            // Both channels are closed, so no stop can be requested: continue to serve.
             else => std::future::pending::<()>().await,
         }
     }
     let began = cx.now();
-    info!(cx.log, "stop asked for"; "in_progress" => cx.in_progress.get());
+    info!(cx.log, "stop requested"; "in_progress" => cx.in_progress.get());
     cx.on_life(RouterEvent::Stop);
     cx.clock.sleep_until(began + cx.rules.get().serve_on).await;
     cx.on_life(RouterEvent::BalancerNotified);
@@ -58,7 +60,7 @@
     while cx.in_progress.get() > 0 && cx.now().since(began) < limit {
         tokio::time::sleep(LOOK_EVERY).await;
     }
-    // Idle connections are closed by now; what is in the sockets is sent by the system.
+    // Within this time idle connections close, and the system sends what is left in the sockets.
     tokio::time::sleep(LOOK_EVERY * 10).await;
     cx.on_life(RouterEvent::Finished);
     let report = StopReport {
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Responses to the operators' requests for status, decisions and changes.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -20,7 +20,7 @@
     withdrawals::Withdrawn,
 };
 
-/// The fleet as one router sees it.
+/// State of the fleet as seen by one router.
 #[derive(Serialize)]
 pub(super) struct Status {
     vm: VmId,
@@ -34,7 +34,7 @@
     refused: u64,
     control_bytes: u64,
     store_calls: u64,
-    /// How long ago the store is known to have held what is in force, in milliseconds.
+    /// Time in milliseconds since the store was last known to hold the configuration in force.
     config_age_ms: Option<u64>,
     reverts_refused: u64,
     routers: Vec<Member>,
@@ -43,28 +43,28 @@
     held_back: Vec<HeldRequest>,
 }
 
-/// A data hall whose targets get nothing.
+/// A data hall whose targets receive no calls.
 #[derive(Serialize)]
 struct EvacuatedHall {
     data_hall: DataHall,
-    /// How long this router has known of it, in milliseconds.
+    /// Time in milliseconds for which this router has known of the evacuation.
     for_ms: u64,
 }
 
-/// A request that is sent to no target, as targets ended under it.
+/// A request that is sent to no target because targets crashed under it.
 #[derive(Serialize)]
 struct HeldRequest {
     fingerprint: String,
-    /// How long it still is, in milliseconds.
+    /// Remaining time of the quarantine in milliseconds.
     for_ms: u64,
 }
 
-/// A target said in an answer that it wants no calls.
+/// Withdrawal of a target, which stated in a response that it accepts no calls.
 #[derive(Serialize)]
 struct TargetWithdrawn {
-    /// How long ago, in milliseconds.
+    /// Time in milliseconds since the withdrawal.
     since_ms: u64,
-    /// For how much longer, in milliseconds; `null` as it leaves.
+    /// Remaining time of the withdrawal in milliseconds; `null` if the target is leaving.
     left_ms: Option<u64>,
 }
 
@@ -77,22 +77,22 @@
     }
 }
 
-/// A target as one router sees it.
+/// State of a target as seen by one router.
 #[derive(Serialize)]
 struct TargetStatus {
     target: TargetId,
     pool: ServiceName,
-    /// What is believed of its health.
+    /// Status of the target's health.
     standing: HealthStatus,
-    /// That it wants no calls, where it said so.
+    /// Withdrawal of the target, if it accepts no calls.
     withdrawn: Option<TargetWithdrawn>,
-    /// Calls of all routers in progress there.
+    /// Number of calls of all routers in progress at the target.
     calls: u32,
-    /// Calls beside the mean of its pool.
+    /// Number of calls in progress relative to the mean of the target's pool, taken as at least 1.
     load: f64,
-    /// Tokens that it has yet to read or write for them.
+    /// Number of tokens that the target has yet to read or write for these calls.
     tokens: u64,
-    /// Tokens of prompts that it is taken to keep.
+    /// Number of prompt tokens that the target is assumed to cache.
     kept: u64,
 }
 
@@ -108,7 +108,7 @@
     changes: Vec<Arc<Change>>,
 }
 
-/// The fleet as this router sees it.
+/// Returns the state of the fleet as seen by this router.
 pub(super) fn status(cx: &Gateway) -> Status {
     let now = cx.now();
     let (revision, digest) = cx.fleet.with_log(|log| (log.revision(), log.digest()));
@@ -159,7 +159,7 @@
     shown
 }
 
-/// The phase, or that there is nothing to serve yet.
+/// Returns the name of the router's phase, or "starting" if it should serve but is not ready yet.
 pub(super) fn state(cx: &Gateway) -> &'static str {
     match cx.phase() {
         Phase::Serving if !cx.is_ready() => "starting",
@@ -192,7 +192,7 @@
     shown
 }
 
-/// What all routers that answer remember of a call.
+/// Returns the decisions on a call that are recorded at all routers that answer.
 pub(super) async fn explain(cx: &Rc<Gateway>, id: &str) -> Response<AnswerBody> {
     let peers = cx.peers.borrow().addresses(cx.now());
     let asks = peers.iter().map(|peer| peer_calls::explain(*peer, id));
@@ -200,7 +200,7 @@
     for (peer, told) in peers.iter().zip(join_all(asks).await) {
         match told {
             Ok(records) => decisions.extend(records),
-            Err(e) => info!(cx.log, "peer does not explain"; "peer" => %peer, "why" => %e),
+            Err(e) => info!(cx.log, "peer did not return decisions"; "peer" => %peer, "why" => %e),
         }
     }
     decisions.sort_by_key(|d| d.at_ms);
@@ -216,7 +216,7 @@
     }
 }
 
-/// The recent changes.
+/// Returns the recent changes.
 pub(super) fn changes(cx: &Gateway) -> Response<AnswerBody> {
     let changes = cx.fleet.with_log(|log| Changes {
         revision: log.revision(),
@@ -225,7 +225,7 @@
     reply::json(200, &changes)
 }
 
-/// One recent change.
+/// Returns one recent change.
 pub(super) fn change(cx: &Gateway, id: &str) -> Response<AnswerBody> {
     let found = cx
         .fleet
