--- a/src/edge/exchange.rs
+++ b/src/edge/exchange.rs
@@ -39,15 +39,15 @@
     cx: &Gateway,
     udp: &UdpSocket,
     from: SocketAddr,
-    told: &Datagram,
+    received: &Datagram,
     joined: Option<VmId>,
 ) {
     let now = cx.now();
-    let mut all_joined = cx.peers.borrow_mut().on_records(now, told);
+    let mut all_joined = cx.peers.borrow_mut().on_records(now, received);
     all_joined.extend(joined);
-    let answer = cx.peers.borrow_mut().answer(now, told);
+    let answer = cx.peers.borrow_mut().answer(now, received);
     if let Some(answer) = answer {
-        send(cx, udp, answer, Some(told.sent), from);
+        send(cx, udp, answer, Some(received.sent), from);
     }
     if all_joined.is_empty() {
         return;
@@ -57,7 +57,7 @@
         .take(PEERS_NAMED)
         .map(VmId::as_str)
         .collect();
-    info!(cx.log, "peers joined"; "peers" => all_joined.len(), "first" => named.join(" "), "from" => %told.vm,
+    info!(cx.log, "peers joined"; "peers" => all_joined.len(), "first" => named.join(" "), "from" => %received.vm,
         "alive" => cx.peers.borrow().live_count(now));
     for vm in &all_joined {
         let address = cx.peers.borrow().address_of(vm);
@@ -69,8 +69,8 @@
 
 /// Sends one step of a comparison.
 fn send(cx: &Gateway, udp: &UdpSocket, step: Exchange, echo: Option<Stamp>, to: SocketAddr) {
-    let mut told = gossip::datagram(cx, Vec::new());
-    told.exchange = Some(step);
-    told.echo = echo;
-    gossip::send_to(cx, udp, &told, to);
+    let mut outgoing = gossip::datagram(cx, Vec::new());
+    outgoing.exchange = Some(step);
+    outgoing.echo = echo;
+    gossip::send_to(cx, udp, &outgoing, to);
 }
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -305,10 +305,10 @@
     }
 
     /// Returns the number of connections to one target that this router may have, if the fleet may have
-    /// `most`.
-    pub(crate) fn conn_share(&self, most: u32) -> usize {
+    /// `max_conns`.
+    pub(crate) fn conn_share(&self, max_conns: u32) -> usize {
         let routers = self.peers.borrow().live_count(self.now());
-        let share = (most as usize).saturating_mul(CONN_PART) / 100 / routers;
+        let share = (max_conns as usize).saturating_mul(CONN_PART) / 100 / routers;
         share.max(CONN_LEAST)
     }
 }
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -66,13 +66,13 @@
         calls_halved: now,
         shares: now,
     };
-    let mut pace = SendSchedule::default();
+    let mut schedule = SendSchedule::default();
     loop {
         let routers = cx.peers.borrow().live_count(cx.now()) as u32;
-        let (pause, telling) = pace.next(routers);
+        let (pause, content) = schedule.next(routers);
         tokio::time::sleep(pause).await;
         let now = cx.now();
-        if telling == SendContent::Hints {
+        if content == SendContent::Hints {
             send_hints(&cx, &udp);
             continue;
         }
@@ -116,12 +116,12 @@
 /// everything else is sent through hubs.
 pub(super) fn send_to_all(cx: &Gateway, udp: &UdpSocket, rates: &[RateReport]) {
     let is_large = cx.peers.borrow().is_large(cx.now());
-    let mut told = datagram(cx, news_of_prompts(cx));
-    told.load = (!is_large).then(|| cx.dispatcher.borrow_mut().load.own_counts());
-    told.rates = rates.to_vec();
+    let mut outgoing = datagram(cx, news_of_prompts(cx));
+    outgoing.load = (!is_large).then(|| cx.dispatcher.borrow_mut().load.own_counts());
+    outgoing.rates = rates.to_vec();
     for to in cx.peers.borrow().all_receivers() {
-        told.echo = to.echo;
-        send_to(cx, udp, &told, to.address);
+        outgoing.echo = to.echo;
+        send_to(cx, udp, &outgoing, to.address);
     }
 }
 
@@ -129,33 +129,33 @@
 /// routers that need them, with digests of the live routers and rates of the accounts.
 fn send_to_close_ones(cx: &Gateway, udp: &UdpSocket, rates: &Rates) {
     let now = cx.now();
-    let mut told = datagram(cx, news_of_prompts(cx));
-    let (sums, rolls) = match cx.adds_up.get() {
+    let mut outgoing = datagram(cx, news_of_prompts(cx));
+    let (sums, digests) = match cx.adds_up.get() {
         true => {
             let mut peers = cx.peers.borrow_mut();
             let changes = peers.recent_changes(now);
-            told.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
-            let rolls = peers.hub_digests(now, cx.recent_calls.get());
-            (Sums::of_halls(cx), rolls)
+            outgoing.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
+            let digests = peers.hub_digests(now, cx.recent_calls.get());
+            (Sums::of_halls(cx), digests)
         }
         false => (Sums::default(), HubDigests::default()),
     };
-    told.load = Some(cx.dispatcher.borrow_mut().load.own_counts());
+    outgoing.load = Some(cx.dispatcher.borrow_mut().load.own_counts());
     for to in cx.peers.borrow().frequent_receivers(now) {
-        told.echo = to.echo;
-        let is_near = to.hall.as_ref() == Some(&cx.cfg.data_hall);
-        let (halls, rolls, of_halls) = match is_near {
-            true => (&sums.all, &rolls.for_own_hall, &rates.halls.for_own_hall),
+        outgoing.echo = to.echo;
+        let is_own_hall = to.hall.as_ref() == Some(&cx.cfg.data_hall);
+        let (halls, digests, of_halls) = match is_own_hall {
+            true => (&sums.all, &digests.for_own_hall, &rates.halls.for_own_hall),
             false => (
                 &sums.own,
-                &rolls.for_other_halls,
+                &digests.for_other_halls,
                 &rates.halls.for_other_halls,
             ),
         };
-        told.rates = of_halls.iter().chain(&rates.own).cloned().collect();
-        told.halls.clone_from(halls);
-        told.member_digests.clone_from(rolls);
-        send_to(cx, udp, &told, to.address);
+        outgoing.rates = of_halls.iter().chain(&rates.own).cloned().collect();
+        outgoing.halls.clone_from(halls);
+        outgoing.member_digests.clone_from(digests);
+        send_to(cx, udp, &outgoing, to.address);
     }
 }
 
@@ -164,14 +164,14 @@
 fn send_hints(cx: &Gateway, udp: &UdpSocket) {
     let hints = news_of_prompts(cx);
     let outages = (cx.dispatcher.borrow_mut().health.outages).take_unannounced();
-    let endings = (cx.dispatcher.borrow_mut().quarantine).take_unannounced();
-    if hints.is_empty() && !outages && !endings {
+    let crashes = (cx.dispatcher.borrow_mut().quarantine).take_unannounced();
+    if hints.is_empty() && !outages && !crashes {
         return;
     }
-    let mut told = datagram(cx, hints);
+    let mut outgoing = datagram(cx, hints);
     for to in cx.peers.borrow().frequent_receivers(cx.now()) {
-        told.echo = to.echo;
-        send_to(cx, udp, &told, to.address);
+        outgoing.echo = to.echo;
+        send_to(cx, udp, &outgoing, to.address);
     }
 }
 
@@ -184,8 +184,8 @@
 
 /// Requests shares of the accounts' limits from the owners of the accounts.
 fn ask_for_shares(cx: &Gateway, udp: &UdpSocket) {
-    for (keeper, ask) in accounts::asks(cx) {
-        send_message(cx, udp, &ask, keeper);
+    for (owner, request) in accounts::asks(cx) {
+        send_message(cx, udp, &request, owner);
     }
 }
 
@@ -197,14 +197,14 @@
     }
     info!(cx.log, "prompts sent to peer"; "peer" => %joined);
     let parts = cx.dispatcher.borrow().cache.shared_parts();
-    for some in parts.chunks(PARTS_TOLD) {
-        let told = datagram(cx, some.to_vec());
-        send_to(cx, udp, &told, address);
+    for chunk in parts.chunks(PARTS_TOLD) {
+        let outgoing = datagram(cx, chunk.to_vec());
+        send_to(cx, udp, &outgoing, address);
     }
 }
 
-pub(super) fn send_to(cx: &Gateway, udp: &UdpSocket, told: &Datagram, address: SocketAddr) {
-    send_message(cx, udp, &Message::State(told), address);
+pub(super) fn send_to(cx: &Gateway, udp: &UdpSocket, outgoing: &Datagram, address: SocketAddr) {
+    send_message(cx, udp, &Message::State(outgoing), address);
 }
 
 fn send_message<S: Serialize>(
@@ -278,7 +278,7 @@
             continue;
         };
         match postcard::from_bytes::<Message>(&buf[..len]) {
-            Ok(Message::State(told)) => on_datagram(&cx, &udp, from, *told),
+            Ok(Message::State(received)) => on_datagram(&cx, &udp, from, *received),
             Ok(Message::ShareRequest {
                 from: vm,
                 account,
@@ -295,49 +295,53 @@
     }
 }
 
-fn on_datagram(cx: &Gateway, udp: &UdpSocket, from: SocketAddr, told: Datagram) {
+fn on_datagram(cx: &Gateway, udp: &UdpSocket, from: SocketAddr, received: Datagram) {
     let now = cx.now();
-    let heard = cx.peers.borrow_mut().on_datagram(now, from, &told);
-    let joined = match heard {
+    let effect = cx.peers.borrow_mut().on_datagram(now, from, &received);
+    let joined = match effect {
         DatagramEffect::Outdated => return,
-        DatagramEffect::Joined => Some(told.vm.clone()),
+        DatagramEffect::Joined => Some(received.vm.clone()),
         DatagramEffect::Known => None,
     };
-    if joined.is_some() && told.echo.is_none() {
+    if joined.is_some() && received.echo.is_none() {
         // The peer may not know this router yet.
-        let mut welcome = datagram(cx, Vec::new());
-        welcome.echo = Some(told.sent);
-        send_to(cx, udp, &welcome, from);
+        let mut reply = datagram(cx, Vec::new());
+        reply.echo = Some(received.sent);
+        send_to(cx, udp, &reply, from);
     }
-    exchange::on_datagram(cx, udp, from, &told, joined);
-    if let Some(vouch) = cx.peers.borrow().config_confirmation(&told) {
-        cx.freshness.borrow_mut().on_peer_confirmation(vouch);
+    exchange::on_datagram(cx, udp, from, &received, joined);
+    if let Some(confirmation) = cx.peers.borrow().config_confirmation(&received) {
+        cx.freshness.borrow_mut().on_peer_confirmation(confirmation);
     }
-    endings::on_peer(cx, now, &told.crashes, &told.quarantined);
+    endings::on_peer(cx, now, &received.crashes, &received.quarantined);
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    if let Some(ago) = told.store_regained_ms {
+    if let Some(ago) = received.store_regained_ms {
         let ago = Duration::from_millis(u64::from(ago));
         dispatcher.discovery.on_store_available(now, ago);
     }
     let admission = &mut dispatcher.admission;
-    admission.on_rate_reports(now, &told.vm, &told.hall, told.rates);
-    let peer = told.vm.clone();
-    let outages = dispatcher.health.outages.on_notices(now, &told.outages);
+    admission.on_rate_reports(now, &received.vm, &received.hall, received.rates);
+    let peer = received.vm.clone();
+    let outages = dispatcher.health.outages.on_notices(now, &received.outages);
     if outages > 0 {
-        info!(cx.log, "outage notices"; "peer" => %told.vm, "targets" => outages);
+        info!(cx.log, "outage notices"; "peer" => %received.vm, "targets" => outages);
     }
-    dispatcher.health.on_suspicions(now, peer, told.suspected);
-    if let Some(load) = told.load {
-        dispatcher.load.on_peer(now, told.vm, told.hall, load);
+    dispatcher
+        .health
+        .on_suspicions(now, peer, received.suspected);
+    if let Some(load) = received.load {
+        dispatcher
+            .load
+            .on_peer(now, received.vm, received.hall, load);
     }
-    match postcard::from_bytes::<HallSums>(&told.halls) {
+    match postcard::from_bytes::<HallSums>(&received.halls) {
         Ok(sums) => dispatcher.load.on_hall_sums(now, sums),
-        Err(_) if told.halls.is_empty() => {}
+        Err(_) if received.halls.is_empty() => {}
         Err(e) => debug!(cx.log, "sums not decoded"; "from" => %from, "why" => %e),
     }
-    let passed_on = cx.adds_up.get();
-    for (id, tokens, target) in told.parts {
+    let forward = cx.adds_up.get();
+    for (id, tokens, target) in received.parts {
         let part = PromptPart { id, tokens };
-        dispatcher.cache.on_peer(&target, part, passed_on);
+        dispatcher.cache.on_peer(&target, part, forward);
     }
 }
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -66,18 +66,18 @@
 async fn serve_caller(cx: Rc<Gateway>, stream: TcpStream) {
     prepare(&stream);
     let limits = cx.caller_limits();
-    let rest = Rc::new(Rest::default());
-    rest.since.set(cx.now());
+    let activity = Rc::new(Rest::default());
+    activity.since.set(cx.now());
     let service = {
-        let (cx, rest) = (Rc::clone(&cx), Rc::clone(&rest));
+        let (cx, activity) = (Rc::clone(&cx), Rc::clone(&activity));
         service_fn(move |req: Request<Incoming>| {
-            let (cx, rest) = (Rc::clone(&cx), Rc::clone(&rest));
+            let (cx, activity) = (Rc::clone(&cx), Rc::clone(&activity));
             async move {
-                rest.busy.set(true);
+                activity.busy.set(true);
                 let answer = call::on_call(&cx, req).await;
-                rest.since.set(cx.now());
-                rest.busy.set(false);
-                rest.ended.notify_one();
+                activity.since.set(cx.now());
+                activity.busy.set(false);
+                activity.ended.notify_one();
                 answer
             }
         })
@@ -91,14 +91,14 @@
     tokio::select! {
         // A broken connection ends its own call, and the error can't be sent to the caller.
         _ = connection.as_mut() => return,
-        () = until_rested(&cx, &rest) => {}
+        () = until_rested(&cx, &activity) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
 /// Waits until the connection exceeds the idle timeout, or until a planned stop closes it.
-async fn until_rested(cx: &Gateway, rest: &Rest) {
+async fn until_rested(cx: &Gateway, activity: &Rest) {
     loop {
         let pause = match cx.phase() {
             Phase::Serving => IDLE_CHECK,
@@ -106,12 +106,12 @@
         };
         tokio::time::sleep(pause).await;
         let limits = cx.caller_limits();
-        let rested = cx.now().since(rest.since.get());
-        let longest = limits.idle_timeout + IDLE_SLACK;
-        if rest.busy.get() {
+        let idle = cx.now().since(activity.since.get());
+        let max_idle = limits.idle_timeout + IDLE_SLACK;
+        if activity.busy.get() {
             continue;
         }
-        if rested > longest || cx.phase() >= Phase::Refusing {
+        if idle > max_idle || cx.phase() >= Phase::Refusing {
             return;
         }
     }
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -104,30 +104,30 @@
 async fn tick(cx: Rc<Gateway>) {
     loop {
         tokio::time::sleep(TICK).await;
-        if let Some(lately) = cx.clock.on_tick() {
-            warn!(cx.log, "suspended"; "for_ms" => lately.as_millis() as u64);
+        if let Some(suspended_for) = cx.clock.on_tick() {
+            warn!(cx.log, "suspended"; "for_ms" => suspended_for.as_millis() as u64);
         }
         let now = cx.now();
-        let gone = cx.dispatcher.borrow_mut().on_tick(now);
+        let removed = cx.dispatcher.borrow_mut().on_tick(now);
         news::settle(&cx);
         endings::on_tick(&cx);
         withdrawals::on_tick(&cx);
-        for target in gone {
+        for target in removed {
             cx.conns.forget(&target);
             info!(cx.log, "target"; "target" => %target, "verdict" => "gone", "why" => "still missing after the store became available again");
         }
-        for (service, held) in cx.dispatcher.borrow().admission.mean_slot_times() {
-            cx.metrics.on_held(service, held);
+        for (service, slot_time) in cx.dispatcher.borrow().admission.mean_slot_times() {
+            cx.metrics.on_held(service, slot_time);
         }
         cx.peers.borrow_mut().on_tick(now);
         cx.usable_share(now);
         let routers = cx.peers.borrow().live_hashes(now);
         cx.dispatcher.borrow_mut().cold.set_routers(routers);
         cx.conns.on_tick(now);
-        let alive = cx.peers.borrow().live_count(now);
+        let live = cx.peers.borrow().live_count(now);
         let size = cx.peers.borrow().fleet_size();
         cx.dispatcher.borrow_mut().load.set_fleet_size(size);
-        cx.metrics.peers_alive.set(alive as i64);
+        cx.metrics.peers_alive.set(live as i64);
         let age = cx.freshness.borrow().age(now);
         cx.metrics
             .config_age_ms
@@ -151,12 +151,12 @@
 
 /// Listens at an address, and replaces it by the one that the system assigned.
 async fn listen(address: &mut SocketAddr) -> Result<TcpListener> {
-    let wanted = *address;
-    let fault = |source| Error::Listen {
-        address: wanted,
+    let requested = *address;
+    let listen_error = |source| Error::Listen {
+        address: requested,
         source,
     };
-    let listener = TcpListener::bind(wanted).await.map_err(fault)?;
-    *address = listener.local_addr().map_err(fault)?;
+    let listener = TcpListener::bind(requested).await.map_err(listen_error)?;
+    *address = listener.local_addr().map_err(listen_error)?;
     Ok(listener)
 }
--- a/src/edge/metrics.rs
+++ b/src/edge/metrics.rs
@@ -65,7 +65,7 @@
 
 impl Default for Metrics {
     fn default() -> Self {
-        let mut all = Self {
+        let mut metrics = Self {
             registry: Registry::with_prefix("scaleford"),
             calls: Family::default(),
             attempts: Family::default(),
@@ -94,8 +94,8 @@
             store_era: Gauge::default(),
             store_revision: Gauge::default(),
         };
-        all.register();
-        all
+        metrics.register();
+        metrics
     }
 }
 
@@ -224,12 +224,12 @@
     }
 
     /// Sets the time for which a call occupies a slot of the service's targets.
-    pub(crate) fn on_held(&self, service: &ServiceName, held: Duration) {
+    pub(crate) fn on_held(&self, service: &ServiceName, slot_time: Duration) {
         let label = ServiceLabel {
             service: service.to_string(),
         };
         let gauge = self.slot_held_ms.get_or_create(&label);
-        gauge.set(held.as_millis() as i64);
+        gauge.set(slot_time.as_millis() as i64);
     }
 
     /// Sets the number of targets that are leaving, and of those that accept no calls for a while.
@@ -241,13 +241,13 @@
     }
 
     /// Records the delay after which a caller that was refused for lack of capacity should retry.
-    pub(crate) fn on_no_room(&self, pause: Duration) {
-        self.refused_pause.observe(pause.as_secs_f64());
+    pub(crate) fn on_no_room(&self, retry_after: Duration) {
+        self.refused_pause.observe(retry_after.as_secs_f64());
     }
 
     /// Records the mean age of the other routers' call counts by which a target was chosen.
-    pub(crate) fn on_choice(&self, counted_ago: Duration) {
-        self.counts_age.observe(counted_ago.as_secs_f64());
+    pub(crate) fn on_choice(&self, counts_age: Duration) {
+        self.counts_age.observe(counts_age.as_secs_f64());
     }
 
     pub(crate) fn on_first_event(&self, took: Duration) {
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -74,17 +74,17 @@
 /// Each comparison takes constant time, so that it reveals nothing about a token.
 fn operator(cx: &Gateway, req: &Request<Incoming>) -> Option<String> {
     let header = req.headers().get(hyper::header::AUTHORIZATION)?;
-    let shown = header.to_str().ok()?.strip_prefix("Bearer ")?;
-    let holds =
-        |t: &&OperatorToken| bool::from(t.token.reveal().as_bytes().ct_eq(shown.as_bytes()));
+    let presented = header.to_str().ok()?.strip_prefix("Bearer ")?;
+    let matches =
+        |t: &&OperatorToken| bool::from(t.token.reveal().as_bytes().ct_eq(presented.as_bytes()));
     let (_, tokens) = cx.cfg.operators.as_ref()?;
-    tokens.iter().find(holds).map(|t| t.name.clone())
+    tokens.iter().find(matches).map(|t| t.name.clone())
 }
 
 async fn body(req: Request<Incoming>) -> Result<Vec<u8>, IntentError> {
-    let bad = || IntentError::new(ResultCode::BodyTooLarge, "the body was not taken");
+    let error = || IntentError::new(ResultCode::BodyTooLarge, "the body was not taken");
     let body = Limited::new(req.into_body(), BODY_LIMIT).collect().await;
-    Ok(body.map_err(|_| bad())?.to_bytes().to_vec())
+    Ok(body.map_err(|_| error())?.to_bytes().to_vec())
 }
 
 fn plan(cx: &Gateway, author: &str, text: &[u8]) -> Response<AnswerBody> {
@@ -99,8 +99,8 @@
 }
 
 async fn confirm_plan(cx: &Rc<Gateway>, author: &str, text: &[u8]) -> Response<AnswerBody> {
-    let bad = |e: serde_json::Error| IntentError::new(ResultCode::BadIntent, e.to_string());
-    let plan = serde_json::from_slice::<Plan>(text).map_err(bad);
+    let error = |e: serde_json::Error| IntentError::new(ResultCode::BadIntent, e.to_string());
+    let plan = serde_json::from_slice::<Plan>(text).map_err(error);
     let plan = plan.map(|p| Plan {
         author: author.to_owned(),
         ..p
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -149,10 +149,10 @@
 
 fn held_back(cx: &Gateway) -> Vec<HeldRequest> {
     let dispatcher = cx.dispatcher.borrow();
-    let held = dispatcher.quarantine.quarantined(cx.now());
-    let shown = held.map(|(request, held_for)| HeldRequest {
+    let quarantined = dispatcher.quarantine.quarantined(cx.now());
+    let shown = quarantined.map(|(request, left)| HeldRequest {
         fingerprint: request.to_string(),
-        for_ms: held_for.as_millis() as u64,
+        for_ms: left.as_millis() as u64,
     });
     let mut shown: Vec<HeldRequest> = shown.collect();
     shown.sort_by(|a, b| a.fingerprint.cmp(&b.fingerprint));
@@ -170,10 +170,10 @@
 fn targets(cx: &Gateway) -> Vec<TargetStatus> {
     let now = cx.now();
     let dispatcher = cx.dispatcher.borrow();
-    let all: Vec<_> = dispatcher.discovery.all().collect();
+    let records: Vec<_> = dispatcher.discovery.all().collect();
     let calls = |id: &TargetId| dispatcher.load.calls(now, id);
     let mean = |pool: &ServiceName| {
-        let of_pool = all.iter().filter(|t| t.service == *pool);
+        let of_pool = records.iter().filter(|t| t.service == *pool);
         let counts: Vec<f64> = of_pool.map(|t| f64::from(calls(&t.id))).collect();
         counts.iter().sum::<f64>() / counts.len().max(1) as f64
     };
@@ -187,7 +187,7 @@
         tokens: dispatcher.load.total(&t.id).tokens.0,
         kept: dispatcher.cache.cached_tokens(&t.id).0,
     };
-    let mut shown: Vec<TargetStatus> = all.iter().map(status).collect();
+    let mut shown: Vec<TargetStatus> = records.iter().map(status).collect();
     shown.sort_by(|a, b| a.target.cmp(&b.target));
     shown
 }
@@ -195,10 +195,10 @@
 /// Returns the decisions on a call that are recorded at all routers that answer.
 pub(super) async fn explain(cx: &Rc<Gateway>, id: &str) -> Response<AnswerBody> {
     let peers = cx.peers.borrow().addresses(cx.now());
-    let asks = peers.iter().map(|peer| peer_calls::explain(*peer, id));
+    let requests = peers.iter().map(|peer| peer_calls::explain(*peer, id));
     let mut decisions = cx.explain.decisions_on(&cx.cfg.vm, id);
-    for (peer, told) in peers.iter().zip(join_all(asks).await) {
-        match told {
+    for (peer, response) in peers.iter().zip(join_all(requests).await) {
+        match response {
             Ok(records) => decisions.extend(records),
             Err(e) => info!(cx.log, "peer did not return decisions"; "peer" => %peer, "why" => %e),
         }
