--- a/src/bin/scaleford/api.rs
+++ b/src/bin/scaleford/api.rs
@@ -1,4 +1,4 @@
-//! One call to a router's operators' address.
+//! HTTP client of a router's operator API.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -6,26 +6,26 @@
 use hyper_util::{client::legacy::Client, rt::TokioExecutor};
 use serde_json::Value;
 
-/// A router's operators' address with the token to show.
+/// Address of a router's operator API, with the operator's token.
 pub(crate) struct Api {
     address: String,
     token: String,
 }
 
-/// What came back.
+/// Response of the router.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) body: Value,
 }
 
 impl Api {
-    /// From flags or the environment.
+    /// Creates a client from flags, or else from environment variables.
     pub(crate) fn from_flags(operator: Option<&str>, token: Option<&str>) -> Result<Self, String> {
         let or_env = |flag: Option<&str>, variable: &str| {
             let given = flag
                 .map(str::to_owned)
                 .or_else(|| std::env::var(variable).ok());
-            given.ok_or_else(|| format!("{variable} is not set, nor its flag"))
+            given.ok_or_else(|| format!("neither {variable} nor its flag is set"))
         };
         Ok(Self {
             address: or_env(operator, "SCALEFORD_OPERATOR")?,
@@ -33,12 +33,12 @@
         })
     }
 
-    /// Asks.
+    /// Sends a GET request.
     pub(crate) fn get(&self, path: &str) -> Result<Answer, String> {
         self.call(Method::GET, path, String::new())
     }
 
-    /// Tells.
+    /// Sends a POST request.
     pub(crate) fn post(&self, path: &str, body: String) -> Result<Answer, String> {
         self.call(Method::POST, path, body)
     }
--- a/src/bin/scaleford/flags.rs
+++ b/src/bin/scaleford/flags.rs
@@ -1,50 +1,50 @@
-//! The command line.
+//! Command line of the operators' command.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Asks a router of the fleet, and tells it what to serve.
+    /// Queries a router of the fleet and changes the fleet's configuration.
     cmd scaleford {
-        /// IP:PORT of any router's operators' address; else SCALEFORD_OPERATOR.
+        /// IP:PORT at which any router accepts operators [default: SCALEFORD_OPERATOR].
         optional --operator operator: String
-        /// The operator's token; else SCALEFORD_TOKEN.
+        /// Token of the operator [default: SCALEFORD_TOKEN].
         optional --token token: String
-        /// Prints the answer as JSON.
+        /// Prints the response as JSON.
         optional --json
 
         /// Shows the fleet as the router sees it.
         cmd status {}
-        /// Tells what was decided about a request, and why.
+        /// Shows the decisions about a request and their reasons.
         cmd explain {
-            /// The call's id: its caller's own, or the answer's x-scaleford-request header.
+            /// Id of the request: the caller's own, or the response's x-scaleford-request header.
             required request: String
-            /// Reads these logs of routers in place of asking the fleet.
+            /// Log file of a router, read instead of querying the fleet.
             repeated --log file: PathBuf
         }
-        /// Checks a whole configuration without a fleet; tells all faults at once.
+        /// Checks a whole configuration without a fleet, and reports all errors at once.
         cmd check-config {
             /// A JSON file, or - for standard input.
             required file: String
         }
         /// Shows the configuration in force.
         cmd config {}
-        /// States what should be served.
+        /// Plans, confirms and shows changes of the configuration.
         cmd intent {
-            /// Prints what an intent would change; changes nothing.
+            /// Prints the effects of an intent without applying it.
             cmd plan {
                 /// A JSON file, or - for standard input.
                 required file: String
             }
-            /// Carries a plan out.
+            /// Applies a plan.
             cmd confirm {
-                /// A file with the plan as JSON, or - for standard input.
+                /// JSON file with the plan, or - for standard input.
                 required plan: String
             }
             /// Lists the recent changes.
             cmd list {}
             /// Shows a change.
             cmd show {
-                /// The change's id.
+                /// Id of the change.
                 required change: String
             }
         }
--- a/src/bin/scaleford/logs.rs
+++ b/src/bin/scaleford/logs.rs
@@ -1,4 +1,4 @@
-//! What the logs of some routers say of one call, and of the targets that it met.
+//! Explains one call from the log files of routers, with the state of the targets that it was sent to.
 
 use std::{
     fs::File,
@@ -9,15 +9,15 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// How long before and after the call a target's standing may still explain it.
+/// Time before and after the call's log lines within which changes of a target's health are included.
 const AROUND_MS: u64 = 2_000;
 
-/// One line of a log that concerns the call.
+/// A log line that is relevant to the call.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Told {
-    /// Milliseconds of the time of day, as the router logged it.
+    /// Unix time of the line in milliseconds, as the router logged it.
     at_ms: u64,
-    /// The file that it stands in.
+    /// Log file that contains the line.
     file: String,
     /// The line as a sentence.
     sentence: String,
@@ -37,7 +37,7 @@
     }
 }
 
-/// All that the files say of a call, in order of time.
+/// Returns all lines of the files that are relevant to a call, in order of time.
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<Vec<Told>, String> {
     let mut own = Vec::new();
     let mut around = Vec::new();
@@ -46,7 +46,7 @@
         let name = file.display().to_string();
         for text in BufReader::new(File::open(file).map_err(fault)?).lines() {
             let text = text.map_err(fault)?;
-            // Lines of other programs may stand between.
+            // The file may also contain lines of other programs.
             let Ok(line) = serde_json::from_str::<Value>(&text) else {
                 continue;
             };
@@ -69,7 +69,8 @@
     Ok(all)
 }
 
-/// Whether a line is of a target that the call met, or of the store, about the time of the call.
+/// Returns whether a line is about a target that the call was sent to, or about a dependency, near the time
+/// of the call.
 fn concerns(line: &Value, own: &[(String, Value)]) -> bool {
     let at = line["ts_ms"].as_u64().unwrap_or(0);
     let near = |l: &Value| {
@@ -98,7 +99,7 @@
     };
     match line["msg"].as_str().unwrap_or_default() {
         "attempt" => format!(
-            "{} had {} calls and {} prompt tokens to read; believed {}; after {} ms: {}.",
+            "{} had {} calls in progress and {} prompt tokens to read; health: {}; after {} ms: {}.",
             text("target"),
             text("calls_there"),
             text("tokens_missing"),
@@ -108,17 +109,17 @@
         ),
         "repeat" => match line["allowed"].as_bool() {
             Some(true) => format!(
-                "It was sent again as the attempt ended with: {}.",
+                "The call was retried because the attempt ended with: {}.",
                 text("why")
             ),
             _ => format!(
-                "It was not sent again ({}): the fleet's budget of repeats was spent.",
+                "The call was not retried ({}): the fleet's retry budget was exhausted.",
                 text("why")
             ),
         },
         "call" => format!(
-            "It ended with {} (status {}) after {} ms and {} attempts{}; configuration of revision \
-             {}, {} ms old.",
+            "The call ended with {} (status {}) after {} ms and {} attempts{}; configuration of \
+             revision {}, {} ms old.",
             text("code"),
             text("status"),
             text("took_ms"),
@@ -137,10 +138,18 @@
             text("id"),
             text("why")
         ),
-        "target" => format!("{} was {} in the list.", text("target"), text("verdict")),
-        "dependency lost" => format!("{} was lost: {}.", text("dependency"), text("why")),
+        "target" => format!(
+            "{} was {} in the list of targets.",
+            text("target"),
+            text("verdict")
+        ),
+        "dependency lost" => format!(
+            "{} became unavailable: {}.",
+            text("dependency"),
+            text("why")
+        ),
         "dependency regained" => format!(
-            "{} was back after {} ms.",
+            "{} was available again after {} ms.",
             text("dependency"),
             text("away_ms")
         ),
--- a/src/bin/scaleford/main.rs
+++ b/src/bin/scaleford/main.rs
@@ -1,6 +1,6 @@
 //! The operators' command.
 //!
-//! Exit codes: 0 done, 1 refused or failed, 2 wrong use, 3 nothing found, 4 not known yet.
+//! Exit codes: 0 success, 1 refused or failed, 2 usage error, 3 nothing found, 4 outcome not known yet.
 
 mod api;
 mod flags;
@@ -12,7 +12,7 @@
 use flags::{IntentCmd, ScalefordCmd};
 use scaleford::{ResultCode, config::FleetConfig};
 
-/// Exit code of a command that was used wrongly.
+/// Exit code of a usage error, an unreadable file or a failed connection.
 const WRONG_USE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -39,7 +39,7 @@
     })
 }
 
-/// Tells every fault of a configuration in a file.
+/// Reports all errors of a configuration in a file.
 fn check_config(file: &str, as_json: bool) -> Result<ExitCode, String> {
     let text = read(file)?;
     let config: FleetConfig = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
@@ -83,7 +83,7 @@
     }
 }
 
-/// The exit code that goes with an answer.
+/// Returns the exit code for a response's status and result code.
 fn exit_code(status: u16, code: Option<ResultCode>) -> ExitCode {
     match (status, code) {
         (_, Some(ResultCode::NotFound)) => ExitCode::from(3),
--- a/src/bin/scaleford/show.rs
+++ b/src/bin/scaleford/show.rs
@@ -1,4 +1,4 @@
-//! Answers for people, or as they came.
+//! Prints responses, formatted for people or as JSON.
 
 use std::process::ExitCode;
 
@@ -12,7 +12,7 @@
     logs::Told,
 };
 
-/// Prints an answer and says how to exit.
+/// Prints a response and returns the exit code.
 pub(crate) fn answer(flags: &Scaleford, answer: &Answer) -> ExitCode {
     let error = answer.body.get("error");
     let code = error
@@ -30,7 +30,7 @@
             ScalefordCmd::Status(_) => status(&answer.body),
             ScalefordCmd::Explain(_) => explain(&answer.body),
             ScalefordCmd::Intent(i) => match &i.subcommand {
-                // A plan is printed as it is, so that it can be piped into confirm.
+                // A plan is printed as JSON, so that it can be piped into `confirm`.
                 IntentCmd::Plan(_) => plan(&answer.body),
                 IntentCmd::Confirm(_) => {
                     println!(
@@ -48,7 +48,7 @@
     exit_code(answer.status, code)
 }
 
-/// Prints what logs say of a call; 3 if they say nothing.
+/// Prints the log lines that are relevant to a call; the exit code is 3 if there are none.
 pub(crate) fn told(as_json: bool, told: &[Told]) -> ExitCode {
     match as_json {
         true => println!("{}", serde_json::json!(told)),
@@ -56,18 +56,18 @@
     }
     match told.is_empty() {
         true => {
-            eprintln!("no line of these logs is of that call");
+            eprintln!("no log line is about this request");
             ExitCode::from(3)
         }
         false => ExitCode::SUCCESS,
     }
 }
 
-/// Prints the faults of a configuration; 1 if there are any.
+/// Prints the errors of a configuration; the exit code is 1 if there are any.
 pub(crate) fn faults(as_json: bool, faults: &[String]) -> ExitCode {
     match as_json {
         true => println!("{}", serde_json::json!({ "faults": faults })),
-        false if faults.is_empty() => println!("no faults"),
+        false if faults.is_empty() => println!("no errors"),
         false => faults.iter().for_each(|f| eprintln!("error {f}")),
     }
     match faults.is_empty() {
@@ -124,7 +124,7 @@
     }
 }
 
-/// What a target says that wants no calls, in place of its standing.
+/// Returns the text that is shown instead of the health of a target that accepts no calls.
 fn withdrawn(w: &Value) -> Option<String> {
     let said = w.as_object()?;
     let left = said["left_ms"].as_u64();
@@ -146,12 +146,12 @@
 
 fn plan(p: &Value) {
     for effect in rows(&p["effects"]) {
-        eprintln!("will: {}", text(effect));
+        eprintln!("effect: {}", text(effect));
     }
     for warning in rows(&p["warnings"]) {
         eprintln!("warning: {}", text(warning));
     }
-    eprintln!("confirm with: scaleford intent confirm FILE, FILE being this plan");
+    eprintln!("to apply it, save this plan to FILE and run: scaleford intent confirm FILE");
     println!("{p}");
 }
 
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -1,7 +1,7 @@
-//! What is told of the messages on both sides, whatever they are called there.
+//! Protocol-independent view of requests and responses, and the conversion to and from headers.
 //!
-//! The gateway works on these types. The product's own way to speak is [`crate::openai`]; an
-//! adapter brings that of a platform.
+//! The gateway works on these types. The product's own dialect is [`crate::openai`]; an adapter provides the
+//! dialect of a platform.
 
 use std::{borrow::Cow, net::SocketAddr, time::Duration};
 
@@ -18,30 +18,30 @@
     withdrawals::Withdrawal,
 };
 
-/// What a caller says of its call.
+/// Information about a call, from the caller's request.
 #[derive(Debug, Clone)]
 pub struct CallFacts {
-    /// What it asks for.
+    /// Host, method and path that routes match.
     pub asked: RoutingKey,
-    /// What it is told if there is no such thing.
+    /// Refusal sent if no route matches.
     pub unknown: Refusal,
-    /// How long the caller waits from when it sent the call.
+    /// Time for which the caller waits, from when it sent the call.
     pub deadline: Option<Duration>,
-    /// The key that the caller shows.
+    /// Key by which the caller authenticates.
     pub key: Option<String>,
-    /// The last event that the caller has of an answer that broke off.
+    /// Id of the last event that the caller received of an interrupted response.
     pub last_event: Option<u64>,
-    /// The prompt, where the call is for a model engine.
+    /// Parts of the prompt of a call to a model engine; empty for others.
     pub prompt: Vec<PromptPart>,
-    /// How many of the prompt's parts calls of other chats begin with as well.
+    /// Number of leading prompt parts that calls of other chats may begin with as well.
     pub shared_parts: usize,
-    /// The chat that it belongs to, where that is known.
+    /// Chat that the call belongs to, if known.
     pub chat: Option<ConversationKey>,
-    /// The most tokens that the answer may have, where the caller says.
+    /// Maximum number of tokens of the response, if the caller sets one.
     pub answer: Option<Tokens>,
-    /// How urgent the caller wants it to be; never more urgent than its account's calls are.
+    /// Priority that the caller requests; it can't exceed the priority of the account's calls.
     pub rank: Option<Rank>,
-    /// The caller's own name for a call that must not run twice.
+    /// Key by which the caller identifies a call that must not run twice.
     pub claim: Option<String>,
 }
 
@@ -63,19 +63,19 @@
     }
 }
 
-/// Why a call is refused before anything is sent.
+/// Refusal of a call before anything was sent to a target.
 #[derive(Debug, Clone)]
 pub struct Refusal {
-    /// What the caller is told.
+    /// Result code for the caller.
     pub code: ResultCode,
-    /// Why, in a sentence for caller and log.
+    /// Reason, as a sentence for the caller and the log.
     pub why: Cow<'static, str>,
-    /// When the caller may come back, where that is later than usual.
+    /// Delay after which the caller should retry; `None` for the default.
     pub come_back: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal for a reason that is the same each time.
+    /// Creates a refusal with a fixed reason.
     pub fn new(code: ResultCode, why: &'static str) -> Self {
         Self {
             code,
@@ -85,97 +85,97 @@
     }
 }
 
-/// What a target is told beside what the caller sent.
+/// Information sent to a target in addition to the caller's request.
 #[derive(Debug, Clone, Copy)]
 pub struct Handover<'a> {
-    /// The target that is meant; any other refuses the call.
+    /// Target that the call is for; any other rejects it.
     pub target: &'a TargetId,
-    /// The call's id.
+    /// Id of the call.
     pub id: Option<&'a str>,
-    /// Which attempt of the call it is, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// How long the target may work on it.
+    /// Time that the target has left for the call.
     pub time_left: Duration,
-    /// Whose call it is.
+    /// Client account that the call is made for.
     pub account: Option<&'a ClientAccountId>,
-    /// The last event that the caller already has.
+    /// Id of the last event that the caller already received.
     pub last_event: Option<u64>,
-    /// How urgent it is.
+    /// Priority of the call.
     pub rank: Option<Rank>,
-    /// Another target from whose memory the prompt is taken in place of being read again.
+    /// Another target, from whose cache the prompt is fetched instead of being read again.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// Who says that a call has not run.
+/// The target that rejected a call without running it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// The target that was meant.
+    /// The target that the call was for.
     ByTarget,
-    /// Another one that has its address now.
+    /// Another target that has its address now.
     ByAnother,
 }
 
-/// What the head of a target's answer says.
+/// Information from the head of a target's response.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerFacts {
-    /// The id of the call that is answered.
+    /// Id of the call that the response belongs to.
     pub id: Option<String>,
-    /// Whether the target vouches for the answer as its own.
+    /// Whether the target signed the response as its own.
     pub sealed: bool,
-    /// The call was refused: it has not run and will not.
+    /// Who rejected the call, in which case it has not run and will not run; `None` if it was not rejected.
     pub refused: Option<Refused>,
-    /// The body is encoded, which no target does by itself.
+    /// Whether the body has a content encoding, which no target applies itself.
     pub encoded: bool,
-    /// The target's load by its own report.
+    /// Load that the target reports.
     pub load: Option<ReportedLoad>,
-    /// How long the target keeps the connection at rest.
+    /// Time for which the target keeps an idle connection open.
     pub keep_alive: Option<Duration>,
-    /// The target closes the connection after this answer.
+    /// Whether the target closes the connection after this response.
     pub closing: bool,
-    /// The target wants no calls, for good or for a while.
+    /// Whether the target accepts no further calls, for good or for a while.
     pub withdrawal: Option<Withdrawal>,
 }
 
 impl AnswerFacts {
-    /// Whether an answer with this status may be passed on as the target's own: of a success it has to vouch for
-    /// the very bytes.
+    /// Returns whether a response with this status may be passed on as the target's own. A success must be
+    /// signed, and its bytes unchanged by an encoding.
     pub fn is_targets(&self, status: StatusCode) -> bool {
         !status.is_success() || (self.sealed && !self.encoded)
     }
 }
 
-/// What a router tells of itself on the callers' port.
+/// A page that the router itself serves on the callers' port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Page {
-    /// That it runs.
+    /// Liveness check.
     Alive,
-    /// Whether it is ready for callers.
+    /// Readiness check: whether the router accepts callers.
     Ready,
-    /// The models that are served.
+    /// List of the models that are served.
     Models,
 }
 
-/// How callers and targets are spoken to.
+/// Conversion between the headers of callers and targets and the library's types.
 pub trait Dialect {
-    /// Which page of the router's own is asked for, if any.
+    /// Returns the router's own page that is requested, if any.
     fn page(&self, _head: &request::Parts) -> Option<Page> {
         None
     }
-    /// The call's id: the caller's own, or one that is made up here.
+    /// Returns the id of a call: the caller's own, or a generated one.
     fn call_id(&self, headers: &HeaderMap) -> Option<String>;
-    /// Reads a whole call.
+    /// Parses a whole request.
     fn read_call(
         &self,
         head: &request::Parts,
         body: &Bytes,
         id: Option<&str>,
     ) -> Result<CallFacts, Refusal>;
-    /// Turns a caller's headers into those for a target.
+    /// Converts a caller's headers into the headers for a target.
     fn write_handover(&self, headers: &mut HeaderMap, handover: &Handover<'_>);
-    /// Reads the head of a target's answer.
+    /// Parses the head of a target's response.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
-    /// Names the call on its answer, where callers expect that.
+    /// Adds the call's id to its response, if callers expect it.
     fn name_answer(&self, _headers: &mut HeaderMap, _id: &str) {}
-    /// How a pause is told in `Retry-After`.
+    /// Formats a delay for the `Retry-After` header.
     fn retry_after(&self, pause: Duration) -> String;
 }
--- a/src/event_stream.rs
+++ b/src/event_stream.rs
@@ -1,25 +1,25 @@
-//! Cuts a `text/event-stream` into whole events, so that a piece of one is never passed on.
+//! Splits a `text/event-stream` into complete events, so that a partial event is never passed on.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The largest event that is waited for, in bytes; engines send some hundred.
+/// Maximum size of an event in bytes; engines send events of some hundred bytes.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// One whole event as it came, with its blank line.
+/// A complete event as received, with the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// The number in its `id` field.
+    /// Number in the event's `id` field, if it has one.
     pub id: Option<u64>,
-    /// Its bytes.
+    /// Bytes of the event.
     pub bytes: Bytes,
 }
 
-/// An event is larger than the limit.
+/// Error of an event that exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event is larger than {EVENT_LIMIT} bytes")]
 pub struct TooLarge;
 
-/// Bytes that are not yet a whole event.
+/// Buffers received bytes and splits them into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
@@ -27,12 +27,12 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Result<Option<Event>, TooLarge> {
         let Some(end) = self.find_end() else {
             return match self.buf.len() {
@@ -46,12 +46,12 @@
         Ok(Some(Event { id, bytes }))
     }
 
-    /// Whether bytes wait that are no whole event.
+    /// Returns whether bytes are buffered that have not been returned as an event.
     pub fn has_rest(&self) -> bool {
         self.buf.has_remaining()
     }
 
-    /// Where the first event ends: behind a line feed that follows an empty line.
+    /// Returns the end of the first event, which is behind the line feed of an empty line.
     fn find_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(3);
         let buf = &self.buf;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! A router fleet between callers and targets (model engines and plain services).
 //!
-//! Every entry VM runs one [`edge::Gateway`]. All routers are equal; what must be agreed or kept
-//! goes through the platform's metadata store. The decisions (placement, load, health, retries,
-//! configuration, claims, limits, membership) are synchronous types that take time and events as
-//! arguments; [`edge`] does the input and output around them. What a deployment calls its headers
-//! and where it keeps its entries only an adapter knows.
+//! Every entry VM runs one [`edge::Gateway`]. All routers are equal; what needs agreement or must be stored
+//! goes through the platform's metadata store. Decisions (placement, load, health, retries, configuration,
+//! claims, limits, membership) are made by synchronous types that take time and events as arguments; [`edge`]
+//! does the input and output around them. Only an adapter knows the names of a deployment's headers and the
+//! keys of its store entries.
 #![deny(missing_docs, unsafe_code)]
 #![warn(clippy::pedantic)]
 #![allow(
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,7 +1,7 @@
-//! JSON lines on standard output that never hold a call up.
+//! Logging as JSON lines on standard output that never blocks a call.
 //!
-//! Lines gather in a buffer; a thread of its own writes them out. When the reader is slow the
-//! buffer fills, further lines are left out, and their number is told as soon as there is room.
+//! Lines are collected in a buffer, which a separate thread writes out. If the reader is slow and the buffer
+//! fills up, further lines are dropped, and their number is logged as soon as there is room.
 
 use std::{
     io::{self, Write},
@@ -13,10 +13,10 @@
 
 use slog::{Drain, LevelFilter, Logger, o, warn};
 
-/// Bytes of lines that may wait: some thousand lines, a few seconds of a busy router.
+/// Maximum size of the buffered lines in bytes: some thousand lines, a few seconds of a busy router.
 const BUFFER_LIMIT: usize = 512 << 10;
 
-/// Batches that may wait for the writing thread.
+/// Maximum number of batches queued for the writing thread.
 const BATCHES: usize = 4;
 
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
 struct Buffer(Arc<Mutex<Pending>>);
 
 impl Buffer {
-    /// The lines that wait; a thread that panicked while it held them left them whole.
+    /// Locks the buffered lines. A poisoned lock is ignored: a thread that panicked left only whole lines.
     fn lock(&self) -> MutexGuard<'_, Pending> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Whole lines only: slog writes one in many pieces.
+/// Writes whole lines to the buffer, as slog writes a line in many pieces.
 struct LineDrain {
     buffer: Buffer,
 }
@@ -78,7 +78,7 @@
         drop(json);
         let mut buffer = self.buffer.clone();
         match logged {
-            // Writing into memory does not fail.
+            // Writing to memory does not fail.
             true => drop(buffer.write(&line)),
             false => self.buffer.lock().left_out += 1,
         }
@@ -91,7 +91,7 @@
     now.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Passes gathered lines on to the writing thread.
+/// Passes the buffered lines to the writing thread.
 pub struct LogFlusher {
     buffer: Buffer,
     batches: SyncSender<Vec<u8>>,
@@ -99,7 +99,8 @@
 }
 
 impl LogFlusher {
-    /// Hands the gathered lines over if the thread has room, and tells what was left out.
+    /// Passes the buffered lines to the writing thread if its queue has room, and logs the number of dropped
+    /// lines.
     pub fn flush(&self) {
         let (batch, left_out) = {
             let mut pending = self.buffer.lock();
@@ -109,7 +110,7 @@
             )
         };
         if left_out > 0 {
-            warn!(self.log, "log lines left out"; "lines" => left_out);
+            warn!(self.log, "log lines dropped"; "lines" => left_out);
         }
         if batch.is_empty() {
             return;
@@ -122,14 +123,14 @@
     }
 }
 
-/// A logger that writes JSON lines to `out`, and what has to be called now and then to do so.
+/// Creates a logger that writes JSON lines to `out`, and the flusher that has to be called regularly.
 ///
-/// Lines below `level` are left out without a count.
+/// Lines below `level` are discarded and not counted as dropped.
 pub fn buffered(mut out: impl Write + Send + 'static, level: slog::Level) -> (Logger, LogFlusher) {
     let (batches, waiting) = sync_channel::<Vec<u8>>(BATCHES);
     std::thread::spawn(move || {
         for batch in waiting {
-            // A reader that is gone leaves nobody to tell.
+            // If the reader is gone, there is nowhere to report the error.
             let _ = out.write_all(&batch);
             let _ = out.flush();
         }
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -1,5 +1,5 @@
-//! The product's own way to speak: OpenAI-shaped chats, the models, plain services below
-//! `/services/`, and health.
+//! The product's own dialect: OpenAI-compatible chats and model list, plain services below `/services/`, and
+//! health checks.
 
 use std::time::Duration;
 
@@ -26,33 +26,33 @@
     withdrawals::Withdrawal,
 };
 
-/// Characters that make a token, about.
+/// Approximate number of bytes per token.
 const CHARS_PER_TOKEN: usize = 4;
 
-/// The path of chats.
+/// Path of chat requests.
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// By which a caller names its chat.
+/// Name of a chat, as given by the caller.
 const CHAT: HeaderName = HeaderName::from_static("x-conversation-id");
-/// How urgent a call is: by a caller a wish, to a target an order.
+/// Priority of a call: requested by a caller, binding for a target.
 const PRIORITY: HeaderName = HeaderName::from_static("x-priority");
-/// The caller's name for a call that must not run twice.
+/// Key by which the caller identifies a call that must not run twice.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// The attempt, as a target is told.
+/// Id of the attempt, sent to a target.
 const ATTEMPT: HeaderName = HeaderName::from_static("x-request-attempt");
-/// By which a target says that it did not run a call.
+/// Set by a target that did not run the call.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-/// By which a target says in any answer that it leaves, with the value `1`.
+/// Set to `1` in any response of a target that is leaving.
 const LEAVING: HeaderName = HeaderName::from_static("x-leaving");
 
-/// Headers of callers that no target needs to see.
+/// Headers of callers that are not forwarded to targets.
 const PRIVATE: [HeaderName; 3] = [
     header::AUTHORIZATION,
     header::COOKIE,
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_ONLY: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -63,11 +63,11 @@
     "trailer",
 ];
 
-/// The product's own way to speak.
+/// The product's own dialect, compatible with OpenAI's chat API.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OpenAiDialect;
 
-/// What matters of a chat's body; the rest goes to the target untouched.
+/// Fields that are read of a chat's body, which is forwarded to the target unchanged.
 #[derive(Deserialize)]
 struct WireChat {
     model: Option<String>,
@@ -155,7 +155,7 @@
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
         let says_not_run = status.as_u16() >= 400 && headers.contains_key(&NOT_RUN);
         let closing = headers.get(header::CONNECTION);
-        // A 429 may be about the caller.
+        // `Retry-After` counts only with status 503, because a 429 may concern the caller.
         let turned_away = status == StatusCode::SERVICE_UNAVAILABLE;
         let retry_after = headers.get(header::RETRY_AFTER);
         let leaving = headers.get(LEAVING).is_some_and(|v| v == "1");
@@ -173,7 +173,7 @@
         set(headers, HeaderName::from_static(reply::REQUEST_HEADER), id);
     }
 
-    /// Whole seconds, as callers of any kind understand.
+    /// Returns whole seconds, at least 1, which all kinds of callers accept.
     fn retry_after(&self, pause: Duration) -> String {
         let seconds = pause.as_secs_f64().ceil().max(1.0);
         format!("{seconds:.0}")
@@ -222,8 +222,8 @@
     })
 }
 
-/// A part for each question with the answer that followed it, as the target that read the question
-/// wrote the answer; and an empty one of the request's own.
+/// Returns a prompt part for each message together with the assistant's answer to it, because the target that
+/// read the message also generated the answer; and an empty part that only this request has.
 fn prompt(messages: &[WireMessage], id: Option<&str>) -> Vec<PromptPart> {
     let mut hash = Xxh3::new();
     let mut parts: Vec<PromptPart> = Vec::with_capacity(messages.len() + 1);
@@ -247,8 +247,8 @@
     parts
 }
 
-/// An explicit name, or else the messages up to the first one of the user, which stay the same
-/// when the chat returns.
+/// Returns the hash of an explicit name, or else of the messages up to the user's first one, which stay the
+/// same in later requests of the chat.
 fn conversation(named: Option<&str>, messages: &[WireMessage]) -> ConversationKey {
     if let Some(name) = named {
         return ConversationKey(xxh3_64(name.as_bytes()));
@@ -277,7 +277,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Sets a header; a text that no header can hold is left out.
+/// Sets a header, unless the value is not valid in a header.
 fn set(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -1,14 +1,14 @@
-//! What callers and operators get that does not come from a target.
+//! Responses to callers and operators that the router itself creates.
 
 use hyper::{Response, StatusCode, header};
 use serde::Serialize;
 
 use crate::{edge::AnswerBody, result_code::ResultCode};
 
-/// The header that carries the number of a result code.
+/// Header that holds the number of a result code.
 pub(crate) const CODE_HEADER: &str = "x-scaleford-code";
 
-/// The header that carries the request's id.
+/// Header that holds the request's id.
 pub(crate) const REQUEST_HEADER: &str = "x-scaleford-request";
 
 #[derive(Serialize)]
@@ -16,7 +16,7 @@
     error: ErrorDetail<'a>,
 }
 
-/// The shape of OpenAI's errors, with our number.
+/// An error in OpenAI's format, extended by the number of the result code and by whether the call ran.
 #[derive(Serialize)]
 struct ErrorDetail<'a> {
     message: &'a str,
@@ -27,7 +27,7 @@
     ran: String,
 }
 
-/// An answer with a whole body.
+/// Creates a response with a complete body.
 pub(crate) fn whole(
     status: u16,
     content_type: &'static str,
@@ -40,15 +40,15 @@
     res
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub(crate) fn json(status: u16, body: &impl Serialize) -> Response<AnswerBody> {
     match serde_json::to_vec(body) {
         Ok(text) => whole(status, "application/json", text),
-        Err(e) => whole(500, "text/plain", format!("not encoded: {e}\n")),
+        Err(e) => whole(500, "text/plain", format!("cannot encode body: {e}\n")),
     }
 }
 
-/// An answer that tells a result code.
+/// Creates an error response with a result code.
 pub(crate) fn error(code: ResultCode, message: &str) -> Response<AnswerBody> {
     let kind = match code.status() {
         401 => "authentication_error",
--- a/src/spans.rs
+++ b/src/spans.rs
@@ -1,4 +1,4 @@
-//! A span for each hop of a call, told to an OTLP collector and to the next hop.
+//! Tracing: a span for each hop of a call, exported to an OTLP collector and propagated to the next hop.
 
 use std::cell::Cell;
 
@@ -19,27 +19,27 @@
 
 use crate::{Error, Result};
 
-/// A router's spans; off, it costs nothing and leaves callers' trace headers as they are.
+/// A router's spans. If tracing is disabled, it costs nothing and callers' trace headers are unchanged.
 #[derive(Default)]
 pub struct Spans {
     on: Option<(SdkTracerProvider, SdkTracer)>,
     begun: Cell<u64>,
 }
 
-/// A span of one hop of a call; ends when dropped.
+/// A span of one hop of a call, which ends when dropped.
 pub struct HopSpan {
     cx: Option<Context>,
 }
 
 impl HopSpan {
-    /// Writes the span's trace parent into headers that go to the next hop.
+    /// Writes the span's trace context into the headers for the next hop.
     pub fn inject(&self, headers: &mut HeaderMap) {
         if let Some(cx) = &self.cx {
             TraceContextPropagator::new().inject_context(cx, &mut HeaderWriter(headers));
         }
     }
 
-    /// Notes how the hop ended.
+    /// Sets an attribute of the span.
     pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         if let Some(cx) = &self.cx {
             cx.span().set_attribute(KeyValue::new(key, value));
@@ -60,7 +60,7 @@
 impl Injector for HeaderWriter<'_> {
     fn set(&mut self, key: &str, value: String) {
         let name = HeaderName::try_from(key);
-        // The propagator writes names and values that headers can hold.
+        // The propagator only writes names and values that are valid in headers.
         if let (Ok(name), Ok(value)) = (name, HeaderValue::try_from(value)) {
             self.0.insert(name, value);
         }
@@ -80,7 +80,7 @@
 }
 
 impl Spans {
-    /// Spans that are told to the targets, and to an OTLP endpoint if there is one.
+    /// Enables tracing: spans are propagated to targets, and exported to an OTLP endpoint if there is one.
     pub fn on(endpoint: Option<&str>) -> Result<Self> {
         let builder = SdkTracerProvider::builder();
         let provider = match endpoint {
@@ -91,7 +91,7 @@
                     .with_endpoint(endpoint)
                     .with_protocol(Protocol::HttpBinary)
                     .build()
-                    .map_err(|e| Error::Protocol(format!("otlp: {e}")))?;
+                    .map_err(|e| Error::Protocol(format!("OTLP setup failed: {e}")))?;
                 builder.with_batch_exporter(exporter).build()
             }
         };
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Begins a hop's span below the trace parent in the headers, if there is one.
+    /// Starts the span of a hop, as a child of the trace context in the headers if there is one.
     pub fn hop(&self, name: &'static str, call: &str, headers: &HeaderMap) -> HopSpan {
         let Some((_, tracer)) = &self.on else {
             return HopSpan { cx: None };
@@ -119,17 +119,17 @@
         }
     }
 
-    /// The spans of hops that were begun.
+    /// Returns the number of spans that were started.
     pub fn begun(&self) -> u64 {
         self.begun.get()
     }
 
-    /// Sends the spans that wait.
+    /// Exports the pending spans and shuts the exporter down.
     pub fn flush(&self) -> Result<()> {
         let Some((provider, _)) = &self.on else {
             return Ok(());
         };
         let flushed = provider.shutdown();
-        flushed.map_err(|e| Error::Protocol(format!("otlp: {e}")))
+        flushed.map_err(|e| Error::Protocol(format!("OTLP export failed: {e}")))
     }
 }
