--- a/src/bin/scaleford/logs.rs
+++ b/src/bin/scaleford/logs.rs
@@ -40,27 +40,27 @@
 /// Returns all lines of the files that are relevant to a call, in order of time.
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<Vec<Told>, String> {
     let mut own = Vec::new();
-    let mut around = Vec::new();
+    let mut context = Vec::new();
     for file in files {
-        let fault = |e: std::io::Error| format!("{}: {e}", file.display());
+        let read_error = |e: std::io::Error| format!("{}: {e}", file.display());
         let name = file.display().to_string();
-        for text in BufReader::new(File::open(file).map_err(fault)?).lines() {
-            let text = text.map_err(fault)?;
+        for text in BufReader::new(File::open(file).map_err(read_error)?).lines() {
+            let text = text.map_err(read_error)?;
             // The file may also contain lines of other programs.
             let Ok(line) = serde_json::from_str::<Value>(&text) else {
                 continue;
             };
             match line["msg"].as_str() {
                 Some("standing" | "target" | "dependency lost" | "dependency regained") => {
-                    around.push((name.clone(), line));
+                    context.push((name.clone(), line));
                 }
                 _ if line["id"] == id => own.push((name.clone(), line)),
                 _ => {}
             }
         }
     }
-    around.retain(|(_, line)| concerns(line, &own));
-    own.extend(around);
+    context.retain(|(_, line)| concerns(line, &own));
+    own.extend(context);
     let mut all: Vec<Told> = own
         .into_iter()
         .map(|(file, line)| told(file, line))
@@ -73,13 +73,13 @@
 /// of the call.
 fn concerns(line: &Value, own: &[(String, Value)]) -> bool {
     let at = line["ts_ms"].as_u64().unwrap_or(0);
-    let near = |l: &Value| {
+    let is_near = |l: &Value| {
         l["ts_ms"]
             .as_u64()
             .is_some_and(|t| t.abs_diff(at) <= AROUND_MS)
     };
-    let met = |l: &Value| line["target"].is_null() || l["target"] == line["target"];
-    own.iter().any(|(_, l)| near(l) && met(l))
+    let same_target = |l: &Value| line["target"].is_null() || l["target"] == line["target"];
+    own.iter().any(|(_, l)| is_near(l) && same_target(l))
 }
 
 fn told(file: String, line: Value) -> Told {
--- a/src/bin/scaleford/main.rs
+++ b/src/bin/scaleford/main.rs
@@ -25,9 +25,9 @@
 fn run(flags: &flags::Scaleford) -> ExitCode {
     match &flags.subcommand {
         ScalefordCmd::CheckConfig(check) => finish(check_config(&check.file, flags.json)),
-        ScalefordCmd::Explain(e) if !e.log.is_empty() => {
-            finish(logs::explain(&e.request, &e.log).map(|told| show::told(flags.json, &told)))
-        }
+        ScalefordCmd::Explain(e) if !e.log.is_empty() => finish(
+            logs::explain(&e.request, &e.log).map(|entries| show::told(flags.json, &entries)),
+        ),
         _ => ask(flags),
     }
 }
@@ -72,14 +72,16 @@
 }
 
 fn read(file: &str) -> Result<String, String> {
-    let fault = |e: std::io::Error| format!("{file}: {e}");
+    let read_error = |e: std::io::Error| format!("{file}: {e}");
     match file {
         "-" => {
             let mut text = String::new();
-            std::io::stdin().read_to_string(&mut text).map_err(fault)?;
+            std::io::stdin()
+                .read_to_string(&mut text)
+                .map_err(read_error)?;
             Ok(text)
         }
-        path => std::fs::read_to_string(path).map_err(fault),
+        path => std::fs::read_to_string(path).map_err(read_error),
     }
 }
 
--- a/src/bin/scaleford/show.rs
+++ b/src/bin/scaleford/show.rs
@@ -49,12 +49,12 @@
 }
 
 /// Prints the log lines that are relevant to a call; the exit code is 3 if there are none.
-pub(crate) fn told(as_json: bool, told: &[Told]) -> ExitCode {
+pub(crate) fn told(as_json: bool, entries: &[Told]) -> ExitCode {
     match as_json {
-        true => println!("{}", serde_json::json!(told)),
-        false => told.iter().for_each(|t| println!("{t}")),
+        true => println!("{}", serde_json::json!(entries)),
+        false => entries.iter().for_each(|e| println!("{e}")),
     }
-    match told.is_empty() {
+    match entries.is_empty() {
         true => {
             eprintln!("no log line is about this request");
             ExitCode::from(3)
@@ -64,13 +64,13 @@
 }
 
 /// Prints the errors of a configuration; the exit code is 1 if there are any.
-pub(crate) fn faults(as_json: bool, faults: &[String]) -> ExitCode {
+pub(crate) fn faults(as_json: bool, errors: &[String]) -> ExitCode {
     match as_json {
-        true => println!("{}", serde_json::json!({ "faults": faults })),
-        false if faults.is_empty() => println!("no errors"),
-        false => faults.iter().for_each(|f| eprintln!("error {f}")),
+        true => println!("{}", serde_json::json!({ "faults": errors })),
+        false if errors.is_empty() => println!("no errors"),
+        false => errors.iter().for_each(|e| eprintln!("error {e}")),
     }
-    match faults.is_empty() {
+    match errors.is_empty() {
         true => ExitCode::SUCCESS,
         false => ExitCode::from(1),
     }
@@ -126,8 +126,8 @@
 
 /// Returns the text that is shown instead of the health of a target that accepts no calls.
 fn withdrawn(w: &Value) -> Option<String> {
-    let said = w.as_object()?;
-    let left = said["left_ms"].as_u64();
+    let withdrawal = w.as_object()?;
+    let left = withdrawal["left_ms"].as_u64();
     Some(left.map_or("leaves".to_owned(), |ms| {
         format!("in {} s", ms.div_ceil(1_000))
     }))
--- a/src/log.rs
+++ b/src/log.rs
@@ -127,9 +127,9 @@
 ///
 /// Lines below `level` are discarded and not counted as dropped.
 pub fn buffered(mut out: impl Write + Send + 'static, level: slog::Level) -> (Logger, LogFlusher) {
-    let (batches, waiting) = sync_channel::<Vec<u8>>(BATCHES);
+    let (batches, queue) = sync_channel::<Vec<u8>>(BATCHES);
     std::thread::spawn(move || {
-        for batch in waiting {
+        for batch in queue {
             // If the reader is gone, there is nowhere to report the error.
             let _ = out.write_all(&batch);
             let _ = out.flush();
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -153,17 +153,17 @@
     }
 
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
-        let says_not_run = status.as_u16() >= 400 && headers.contains_key(&NOT_RUN);
+        let not_run = status.as_u16() >= 400 && headers.contains_key(&NOT_RUN);
         let closing = headers.get(header::CONNECTION);
         // `Retry-After` counts only with status 503, because a 429 may concern the caller.
-        let turned_away = status == StatusCode::SERVICE_UNAVAILABLE;
+        let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
         let retry_after = headers.get(header::RETRY_AFTER);
         let leaving = headers.get(LEAVING).is_some_and(|v| v == "1");
         let backoff = retry_after.and_then(|v| v.to_str().ok()?.trim().parse().ok());
         AnswerFacts {
             sealed: true,
-            refused: says_not_run.then_some(Refused::ByTarget),
-            withdrawal: Withdrawal::from_headers(leaving, backoff.filter(|_| turned_away)),
+            refused: not_run.then_some(Refused::ByTarget),
+            withdrawal: Withdrawal::from_headers(leaving, backoff.filter(|_| is_unavailable)),
             closing: closing.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close")),
             ..AnswerFacts::default()
         }
@@ -201,9 +201,9 @@
         ..Refusal::new(ResultCode::UnknownModel, "")
     };
     let model: ModelName = name.parse().map_err(|_| unknown.clone())?;
-    let answer = chat.max_completion_tokens.or(chat.max_tokens).map(Tokens);
-    let named = chat.prompt_cache_key.as_deref();
-    let named = named.or_else(|| text(headers, &CHAT));
+    let max_tokens = chat.max_completion_tokens.or(chat.max_tokens).map(Tokens);
+    let explicit_name = chat.prompt_cache_key.as_deref();
+    let explicit_name = explicit_name.or_else(|| text(headers, &CHAT));
     Ok(CallFacts {
         asked: RoutingKey {
             path: chat_path(&model, chat.stream),
@@ -216,8 +216,8 @@
             .iter()
             .take_while(|m| m.role != "user")
             .count(),
-        chat: Some(conversation(named, &chat.messages)),
-        answer,
+        chat: Some(conversation(explicit_name, &chat.messages)),
+        answer: max_tokens,
         ..facts
     })
 }
@@ -249,8 +249,8 @@
 
 /// Returns the hash of an explicit name, or else of the messages up to the user's first one, which stay the
 /// same in later requests of the chat.
-fn conversation(named: Option<&str>, messages: &[WireMessage]) -> ConversationKey {
-    if let Some(name) = named {
+fn conversation(explicit_name: Option<&str>, messages: &[WireMessage]) -> ConversationKey {
+    if let Some(name) = explicit_name {
         return ConversationKey(xxh3_64(name.as_bytes()));
     }
     let mut hash = Xxh3::new();
@@ -269,8 +269,8 @@
 }
 
 fn asked_rank(headers: &HeaderMap) -> Option<Rank> {
-    let asked: Priority = text(headers, &PRIORITY)?.parse().ok()?;
-    Some(asked.rank())
+    let requested: Priority = text(headers, &PRIORITY)?.parse().ok()?;
+    Some(requested.rank())
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
