--- a/soak/src/budget.rs
+++ b/soak/src/budget.rs
@@ -1,35 +1,49 @@
-//! The budget of repeats, as the users' pages count it.
+//! The retry budget, counted as the user documentation defines it.
 
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
 use tokio::time::Instant;
 
-/// Repeats that are allowed for each call of a window, and beyond that.
+/// Number of retries that are allowed for each call of a window.
 const RATIO: f64 = 0.2;
+
+/// Number of retries that are allowed in a window in addition to those per call.
 const EXTRA: f64 = 54.0;
+
+/// Length of the window in which calls and retries are counted.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Calls as their callers sent them, whether they arrived or not, and arrivals at targets beyond the first of each.
+/// Checks the retry budget of all routers together.
+///
+/// A call counts when its caller sends it, whether it arrives at a target or not. Each arrival of a call at a
+/// target after the first one counts as a retry.
 #[derive(Debug, Default)]
 pub struct Budget {
+    /// When recent calls were counted.
     calls: RefCell<VecDeque<Instant>>,
+    /// When recent retries arrived at targets.
     repeats: RefCell<VecDeque<Instant>>,
 }
 
-/// Whether a call is on a route that each configuration has. One on a route of a single version counts where it arrives.
+/// Returns whether a call uses a route that every configuration has.
+///
+/// A call on the route of a single version counts at its first arrival at a target instead of when it is
+/// sent.
 fn is_on_lasting_route(call: &str) -> bool {
     !call.starts_with("only")
 }
 
 impl Budget {
-    /// A caller sends a call.
+    /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str) {
         if is_on_lasting_route(call) {
             self.calls.borrow_mut().push_back(Instant::now());
         }
     }
 
-    /// A call arrives at a target, first or again; returns what that breaks.
+    /// Records that a call arrives at a target, for the first time or as a retry.
+    ///
+    /// Returns a description of the violation if the retry exceeds the budget.
     pub fn on_arrival(&self, call: &str, is_first: bool) -> Option<String> {
         let now = Instant::now();
         match is_first {
@@ -45,10 +59,10 @@
         let allowed = RATIO * self.most_calls(now) as f64 + EXTRA;
         let repeats = self.repeats.borrow().len();
         let is_kept = repeats as f64 <= allowed;
-        (!is_kept).then(|| format!("{repeats} repeats where {allowed:.0} were allowed"))
+        (!is_kept).then(|| format!("{repeats} retries where {allowed:.0} are allowed"))
     }
 
-    /// Calls of the window that ends now, of the one before it, or of that half a window ago, whichever has the most.
+    /// Returns the largest number of calls in a window that ends now, half a window ago or one window ago.
     fn most_calls(&self, now: Instant) -> usize {
         let calls = self.calls.borrow();
         let ended = |ago: Duration| {
@@ -63,6 +77,7 @@
     }
 }
 
+/// Removes the instants that are older than `age`.
 fn forget_before(times: &mut VecDeque<Instant>, now: Instant, age: Duration) {
     while times
         .front()
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,6 @@
-//! Callers that keep their connections until the process is gone.
+//! Callers that send calls to the routers in a loop.
+//!
+//! A caller reuses its connection until a call gets no response or the router's process exits.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,19 +20,19 @@
     vm::{KEYS, PATIENCE, Vm, World},
 };
 
-/// Callers of each gateway.
+/// Number of callers of each router.
 const CALLERS: usize = 3;
 
-/// The longest pause between two calls of one caller.
+/// Upper bound of the pause between two calls of one caller, in milliseconds.
 const PAUSE_MS: u64 = 30;
 
-/// How long a caller waits for its answer.
+/// Deadline that a caller sends with a call, and its timeout for the response head and for each body frame.
 const DEADLINE: Duration = Duration::from_secs(3);
 
-/// How many calls must be served after the faults for the fleet to count as recovered.
+/// Number of calls that must be served after the faults before the fleet counts as recovered.
 const SERVED_AGAIN: u64 = 100;
 
-/// One connection.
+/// A caller's connection to a router.
 pub struct Caller {
     sender: SendRequest<Full<Bytes>>,
 }
@@ -40,13 +42,13 @@
         let stream = TcpStream::connect(address).await.ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::task::spawn_local(async move {
-            // Its end reaches whoever waits for an answer on it.
+            // The call that waits for a response on this connection gets the error as well.
             let _ = connection.await;
         });
         Some(Self { sender })
     }
 
-    /// Whether a plain question gets a 200.
+    /// Returns whether `GET /` is answered with status 200.
     pub async fn is_ok(&mut self) -> bool {
         let req = Request::get("/").header("host", "x").body(Full::default());
         let Ok(req) = req else { return false };
@@ -54,11 +56,12 @@
         matches!(answer, Ok(Ok(res)) if res.status() == 200)
     }
 
+    /// Sends a call whose body is its id, and returns its outcome.
     pub async fn call(&mut self, kind: &str, id: &str, key: &str) -> End {
         self.send(kind, id, key, id).await
     }
 
-    /// A call with a body of its own.
+    /// Sends a call with the given body, and returns its outcome.
     pub async fn send(&mut self, kind: &str, id: &str, key: &str, body: &str) -> End {
         let req = Request::post(format!("/{kind}/x"))
             .header("host", "desk.example")
@@ -84,14 +87,15 @@
     }
 }
 
-/// All callers of a run.
+/// The running callers.
 pub struct Calling {
     tasks: Vec<JoinHandle<()>>,
+    /// Whether the callers should stop after their current calls.
     over: Rc<Cell<bool>>,
     promises: Rc<Promises>,
 }
 
-/// Starts callers before each gateway.
+/// Starts the callers of each router.
 pub fn start(world: &World, seed: u64) -> Calling {
     let over = Rc::new(Cell::new(false));
     let mut tasks = Vec::new();
@@ -117,6 +121,7 @@
     }
 }
 
+/// Sends random calls to one router until the callers are stopped.
 async fn go_on_calling(
     vm: Rc<Vm>,
     promises: Rc<Promises>,
@@ -130,7 +135,7 @@
     while !over.get() {
         n += 1;
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..PAUSE_MS))).await;
-        // Each version has a route of its own, which shows what is in force.
+        // Each configuration version has its own route, which shows which version is in force.
         let asked = version.get().saturating_sub(rng.random_range(0..3));
         let only = format!("only-{asked}");
         let kind = ["safe", "once", "stream", only.as_str()][rng.random_range(0..4)];
@@ -152,7 +157,7 @@
         if kind == only && matches!(end, End::Answer(200, ..)) && vm.seen_version.get() >= seen {
             vm.seen_version.set(vm.seen_version.get().max(asked));
             if asked < seen {
-                promises.break_(Promise::ConfigNeverBack, format!("{id} after {seen}"));
+                promises.break_(Promise::ConfigNeverBack, format!("{id} after v{seen}"));
             }
         }
         let cut = matches!(end, End::Answer(200, _, false));
@@ -166,14 +171,14 @@
 }
 
 impl Calling {
-    /// Waits until calls are served again after the faults.
+    /// Waits until enough calls are served after the faults, and records a violation if that takes too long.
     pub async fn until_served_again(&self) {
         let before = self.promises.served();
         let until = Instant::now() + PATIENCE;
         while self.promises.served() < before + SERVED_AGAIN {
             if Instant::now() > until {
                 let served = self.promises.served() - before;
-                let how = format!("{served} calls served in {PATIENCE:?}");
+                let how = format!("only {served} calls served in {PATIENCE:?}");
                 self.promises.break_(Promise::Recovery, how);
                 return;
             }
@@ -181,11 +186,11 @@
         }
     }
 
-    /// Lets each caller finish its call.
+    /// Stops the callers after each has finished its current call.
     pub async fn stop(self) {
         self.over.set(true);
         for task in self.tasks {
-            // A caller that panicked shows it by itself.
+            // A panic of a caller has been printed already.
             let _ = task.await;
         }
     }
--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -1,4 +1,6 @@
-//! A request that ends each target that begins to run it, and comes again through any gateway.
+//! A request that crashes each target that starts to run it.
+//!
+//! It is sent repeatedly through random routers.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -11,28 +13,28 @@
     vm::{KEYS, World},
 };
 
-/// Its body, by which targets know it.
+/// Body by which targets recognize the crashing request.
 pub const BODY: &str = "the lot that nobody can describe";
 
-/// The pause between two returns.
+/// Range of the pause between two sends of the request, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 100..600;
 
-/// How long a target that ended is away.
+/// Time between the crash of a target and its restart.
 const AWAY: Duration = Duration::from_millis(1_500);
 
-/// How long its caller waits for an answer.
+/// Time for which the caller of the request waits for a response.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// Draws of its own, so that a seed's other faults stay as they are.
+/// Selects a separate random sequence, so that the other faults of a seed do not change.
 const STREAM: u64 = 0x6372_6173_6865_7300;
 
-/// The caller of the request, and what starts targets again.
+/// Tasks that send the crashing request and restart crashed targets.
 pub struct Crashing {
     caller: JoinHandle<()>,
     restarts: Vec<JoinHandle<()>>,
 }
 
-/// Sends the request over and over, also after the other faults have ended.
+/// Starts to send the request repeatedly, also after the other faults have ended.
 pub fn start(world: &Rc<World>, seed: u64) -> Crashing {
     let restarts = (0..world.targets.len()).map(|n| {
         let world = Rc::clone(world);
@@ -49,7 +51,7 @@
                 return;
             };
             if let Some(mut caller) = Caller::connect(vm.callers).await {
-                // Nobody waits for what it comes to; what targets saw of it counts.
+                // The outcome is ignored: only what targets observe is checked.
                 let id = format!("crash-{n}");
                 let sent = caller.send("safe", &id, KEYS[0], BODY);
                 let _ = tokio::time::timeout(PATIENCE, sent).await;
@@ -59,7 +61,7 @@
     Crashing { caller, restarts }
 }
 
-/// Ends a target's link when the request ends it, and starts it again under its name.
+/// Closes a target's link whenever the request crashes the target, and restarts it under the same name.
 async fn restart(world: &World, n: usize) {
     let (target, link) = &world.targets[n];
     loop {
@@ -74,18 +76,19 @@
 }
 
 impl Crashing {
-    /// Ends the request's returns.
+    /// Stops sending the request and restarting targets.
     pub fn stop(self) {
         self.caller.abort();
         self.restarts.iter().for_each(JoinHandle::abort);
     }
 }
 
-/// What targets saw of the request.
+/// What targets observed of the crashing request.
 #[derive(Debug, Default)]
 pub struct Seen {
-    /// Targets that ended under it.
+    /// Number of targets that crashed while they ran it.
     pub ended: Cell<u32>,
-    /// Sends later than all gateways have to know of the third ending.
+    /// Number of times that it reached a target after the time by which all routers have to know of the third
+    /// crash.
     pub late: Cell<u32>,
 }
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -1,4 +1,4 @@
-//! What targets that start again, other writers and operators put into the store, drawn from the seed.
+//! Random store writes of restarted targets, other writers and operators, derived from the seed.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::vm::World;
 
-/// The pause between two writes.
+/// Range of the pause between two writes, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 50..400;
 
-/// Draws of their own, so that a seed's other faults stay as they are.
+/// Selects a separate random sequence, so that the other faults of a seed do not change.
 const STREAM: u128 = 0x0065_6e74_7269_6573;
 
-/// A data hall of no target, which is evacuated and taken back.
+/// Key that evacuates a data hall without targets; it is written and removed.
 const EVACUATION: &str = "op/evacuate/barn";
 
-/// Entries that name no target to use.
+/// Entries that describe no usable target.
 const FOREIGN: [&str; 5] = [
     r#"{"service":"desk","address":"127.0.0.1:9","zone":"yard"}"#,
     r#"{"service":"desk","address":"127.0.0.1:9","zone":"yard","version":"v1","slots":64,
@@ -28,7 +28,7 @@
     "not even JSON",
 ];
 
-/// Writes entries for a while.
+/// Writes random entries for the given time.
 pub async fn inject(world: &World, seed: u64, for_: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), STREAM);
     let until = Instant::now() + for_;
@@ -40,6 +40,7 @@
     world.store.remove(EVACUATION);
 }
 
+/// Restarts a target, or writes or removes a random entry.
 fn write(world: &World, rng: &mut Pcg64) {
     let foreign = FOREIGN.choose(rng).copied().unwrap_or_default();
     match rng.random_range(0..6) {
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, drawn from the seed, in overlapping series.
+//! External faults that overlap in time, derived from the seed.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
     vm::{KEYS, World},
 };
 
-/// The pause between two faults.
+/// Range of the pause between two faults, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 50..500;
 
-/// How long the longest bytes are held back.
+/// Range of the delays of links and of the store's responses, in milliseconds.
 const DELAY_MS: std::ops::Range<u64> = 20..400;
 
-/// Injects faults for a while; they may still be in force when it ends.
+/// Injects faults for the given time. Faults may still be in force when it returns.
 pub async fn inject(world: &World, rng: &mut Pcg64, for_: Duration) {
     let until = Instant::now() + for_;
     let revokes = rng.random_bool(0.5);
@@ -50,6 +50,7 @@
     }
 }
 
+/// Returns whether all links to the store and the store itself are without fault and no router is paused.
 fn is_settled(world: &World) -> bool {
     let reached = world
         .vms
@@ -59,7 +60,7 @@
     reached && well && !world.vms.iter().any(|vm| vm.paused.get())
 }
 
-/// Kills a gateway, and starts one that is not running.
+/// Starts each router that is not running, then kills a random one.
 async fn kill(world: &World, rng: &mut Pcg64) {
     for vm in &world.vms {
         if !vm.runs() {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Asks a gateway to stop as planned; it is started again by a later fault.
+/// Asks a random router to shut down gracefully. A later fault starts it again.
 async fn stop(world: &World, rng: &mut Pcg64) {
     if let Some(vm) = world.vms.choose(rng)
         && vm.runs()
@@ -126,6 +127,7 @@
     }
 }
 
+/// Returns a random fault of a link.
 fn fault(rng: &mut Pcg64) -> Fault {
     let delay = Duration::from_millis(rng.random_range(DELAY_MS));
     let faults = [
@@ -139,8 +141,8 @@
     faults.choose(rng).copied().unwrap_or_default()
 }
 
-/// The store forgets its history, turns all away, is down, slow, or loses answers to writes; or it
-/// is well again.
+/// Makes the store drop its history, reject all calls, break connections, respond slowly or lose the
+/// responses to writes, or ends its fault.
 fn change_store(world: &World, rng: &mut Pcg64) {
     let well = StoreFault::default();
     let fault = match rng.random_range(0..8) {
@@ -160,7 +162,7 @@
     world.store.set_fault(fault);
 }
 
-/// A target leaves, or is back.
+/// Marks the first target as draining, or as ready again.
 fn change_entry(world: &World, rng: &mut Pcg64) {
     let state = ["ready", "draining"][rng.random_range(0..2)];
     world.write_entry(&world.targets[0].0.id, state);
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,4 +1,5 @@
-//! A loopback proxy before a target or the store: delays, resets, silences one way or both.
+//! Loopback proxy in front of a target or the store, which injects delays, resets and stalls in one
+//! direction.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,40 +16,44 @@
     time::Instant,
 };
 
-/// What a link does to its connections.
+/// A fault that a link injects into its connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Each read is passed on so much later.
+    /// Delays the bytes of each read by this time.
     Delay(Duration),
-    /// Connections are reset, and new ones too.
+    /// Closes open connections and resets new ones.
     Reset,
-    /// Nothing passes towards the far end.
+    /// Passes no bytes on to the server.
     SilentThere,
-    /// Nothing comes back.
+    /// Passes no bytes back to the client.
     SilentBack,
 }
 
-/// One proxied address.
+/// Proxy in front of one server address.
 pub struct Link {
+    /// Address at which the link accepts connections.
     pub address: SocketAddr,
     fault: Cell<Fault>,
-    /// When it last had a fault that is over.
+    /// When the last fault ended or was replaced by another one.
     harmed: Cell<Option<Instant>>,
+    /// Address of the server behind the link.
     far: SocketAddr,
+    /// The task that accepts connections, if the link is open.
     accepting: RefCell<Option<AbortHandle>>,
+    /// Notifies all connections that the link is closed.
     ended: Notify,
 }
 
-/// How often a link that holds bytes back looks whether it may pass them on.
+/// Interval at which a connection checks whether a fault has begun or ended.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// Bytes that one read passes on.
+/// Maximum number of bytes that one read passes on.
 const CHUNK: usize = 16 << 10;
 
 impl Link {
-    /// A proxy on a port of its own before `far`.
+    /// Starts a proxy for the server `far` on a free loopback port.
     pub async fn start(far: SocketAddr) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let link = Rc::new(Self {
@@ -63,7 +68,7 @@
         Ok(link)
     }
 
-    /// Ends all connections; new ones are refused, as where a process has ended.
+    /// Closes all connections and refuses new ones, as if the server's process had exited.
     pub fn end(&self) {
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
@@ -71,26 +76,26 @@
         self.ended.notify_waiters();
     }
 
-    /// Accepts connections again.
+    /// Accepts connections again at the same address.
     pub async fn begin_again(self: &Rc<Self>) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         self.accept(listener);
         Ok(())
     }
 
-    /// Puts a fault in force, or ends it.
+    /// Sets the fault that is in force; `Fault::None` ends it.
     pub fn set_fault(&self, fault: Fault) {
         if self.fault.replace(fault) != Fault::None {
             self.harmed.set(Some(Instant::now()));
         }
     }
 
-    /// Its fault.
+    /// Returns the fault that is in force.
     pub fn fault(&self) -> Fault {
         self.fault.get()
     }
 
-    /// Whether it has had none for so long.
+    /// Returns whether the link has had no fault for at least this time.
     pub fn is_sound(&self, for_: Duration) -> bool {
         let harmed = self.harmed.get().is_some_and(|at| at.elapsed() < for_);
         self.fault.get() == Fault::None && !harmed
@@ -113,10 +118,12 @@
 }
 
 fn reset(stream: &TcpStream) {
-    // Closing without lingering resets; if the option fails it is an ordinary close.
+    // With a linger time of zero, closing resets the connection. If setting the option fails, it is closed
+    // normally.
     let _ = stream.set_zero_linger();
 }
 
+/// Connects to the server and passes bytes both ways until either end closes or a fault ends the connection.
 async fn pass(link: Rc<Link>, near: TcpStream, far: SocketAddr) {
     let Ok(far) = TcpStream::connect(far).await else {
         reset(&near);
@@ -139,7 +146,7 @@
     }
 }
 
-/// Passes bytes one way until either end closes.
+/// Passes bytes in one direction until either end closes. Passes none while the fault `silence` is in force.
 async fn pump(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, silence: Fault) {
     let mut buf = vec![0; CHUNK];
     loop {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,7 +1,7 @@
-//! A randomized soak: gateways as processes, targets and the store as stand-ins, links that fail.
+//! Randomized soak test: real router processes, simulated targets and a simulated store, and links that fail.
 //!
-//! Everything is drawn from a seed. What must hold is checked from what callers and targets see;
-//! the exit status is 1 if anything did not.
+//! All random choices derive from one seed. The guarantees are checked by what callers and targets observe;
+//! the exit status is 1 if any of them was violated.
 
 mod budget;
 mod callers;
@@ -32,23 +32,23 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs gateways as processes on loopback under faults, and checks what was promised.
+        /// Runs router processes on loopback, injects faults, and checks the guarantees.
         cmd soak {
-            /// What everything is drawn from; 1 if not given.
+            /// Seed of all random choices; 1 by default.
             optional --seed seed: u64
-            /// How long faults go on, in seconds; 10 if not given.
+            /// Duration of the faults, in seconds; 10 by default.
             optional --seconds seconds: u64
-            /// How many gateways; 4 if not given, 200 at the most.
+            /// Number of routers; 4 by default, at most 200.
             optional --vms vms: usize
-            /// The gateway's program, if it is not beside this one.
+            /// Path of the router program; by default `scalefordd` in the directory of this program.
             optional --program program: PathBuf
-            /// Restarts under the same name, entries of other writers and evacuations come as well.
+            /// Also restart targets under the same name, and write entries of other writers and evacuations.
             optional --entries
-            /// A request comes that ends each target that begins to run it.
+            /// Also send a request that crashes each target that starts to run it.
             optional --crashes
-            /// Targets say in answers that they leave, or want no calls for a while.
+            /// Also let targets announce in responses that they are leaving or accept no calls for a while.
             optional --withdrawals
-            /// The store comes back from older copies.
+            /// Also revert the store to older copies.
             optional --set-backs
             /// Print the verdict as JSON.
             optional --json
@@ -56,7 +56,7 @@
     }
 }
 
-/// What a run is made of.
+/// Options of a run.
 #[derive(Debug, Clone)]
 struct Plan {
     seed: u64,
@@ -69,7 +69,7 @@
     set_backs: bool,
 }
 
-/// Gateways at the most: each takes some 10 MB, and an address of one network of 250.
+/// Maximum number of routers. Each takes about 10 MB of memory and one of the 250 addresses of a network.
 const MOST_VMS: usize = 200;
 
 fn main() -> ExitCode {
@@ -90,7 +90,7 @@
         program: flags.program.or(beside).unwrap_or_default(),
     };
     if !plan.program.is_file() {
-        eprintln!("no program {}: build it first", plan.program.display());
+        eprintln!("no router at {}: build it first", plan.program.display());
         return ExitCode::from(2);
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -113,7 +113,8 @@
     }
 }
 
-/// How long a request that ends targets comes on after the faults: beyond the time in which gateways have to know.
+/// Time for which the request that crashes targets is still sent after the faults have ended. It is longer
+/// than the time within which routers have to know about the crashes.
 const CRASHES_ON: Duration = Duration::from_secs(6);
 
 async fn run(plan: &Plan) -> promises::Verdict {
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -1,4 +1,4 @@
-//! What must hold, checked from what callers and targets see.
+//! Guarantees of the router fleet, checked by what callers and targets observe.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,76 +17,89 @@
     withdrawals,
 };
 
-/// How long after its entry says that it leaves a target may still get calls: the rule's two seconds,
-/// and one for this machine being busy.
+/// Time for which a target may still get calls after its entry says that it is leaving: the two seconds that
+/// the rule allows, and one second because the machine may be busy.
 const LEAVES_WITHIN: Duration = Duration::from_secs(3);
 
-/// How long after it was taken away a key may work.
+/// Time for which a key may still work after it was revoked.
 const REVOKED_WITHIN: Duration = Duration::from_secs(5);
 
-/// A promise.
+/// A guarantee that a run checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Promise {
-    /// A caller gets the whole answer to its own call, or a failure.
+    /// A caller gets the complete response to its own call, or a failure.
     OwnWholeAnswer,
-    /// A call that must not be repeated runs at most once.
+    /// A call that must not be retried runs at most once.
     AtMostOnce,
-    /// A call that was told "not run" did not run.
+    /// A call that was reported as not run did not run.
     NotRunIsTrue,
-    /// A target that leaves gets no calls after a while.
+    /// A target whose entry says that it is leaving gets no calls after a grace period.
     LeavingGetsNothing,
-    /// A key that was taken away stops to work.
+    /// A revoked key stops working after a grace period.
     RevokedKeys,
-    /// The targets get what the caller sent, in the account's name.
+    /// Targets receive the body that the caller sent, under the name of the caller's account.
     Unchanged,
-    /// A planned stop cuts off no call.
+    /// A graceful shutdown cuts off no call.
     StopCutsNothing,
-    /// A router that had a configuration in force serves by no older one.
+    /// A router that has applied a configuration does not serve by an older one.
     ConfigNeverBack,
-    /// A configuration that was written after the store was set back is in force at all routers.
+    /// A configuration that is written after the store was reverted takes effect at all routers.
     ConfigInForce,
-    /// All routers together repeat no more than the budget allows.
+    /// All routers together send no more retries than the budget allows.
     RetryBudget,
-    /// A request under which three targets ended is held back by all gateways that can know.
+    /// A request that crashed three targets is quarantined by all routers that can know of the crashes.
     HeldBack,
-    /// A target that said in an answer that it wants no calls gets none from the gateway that passed it on, or that
-    /// it was said to.
+    /// A target that announced in a response that it accepts no calls gets none from the router that received
+    /// the announcement, or that forwarded it to the caller.
     WithdrawnGetsNothing,
-    /// After the faults, calls are served again.
+    /// Calls are served again after the faults.
     Recovery,
 }
 
-/// Targets that may end under one request, how long gateways have then to know of it, and how often it may be
-/// sent later.
+/// Number of targets that may crash under one request before routers have to quarantine it.
 const ENDED: u32 = 3;
+
+/// Time within which routers have to know of a crash.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+
+/// Number of times that the request may still reach a target after that time.
 const SENT_LATER: u32 = 3;
 
-/// How a call ended for its caller.
+/// Outcome of a call for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// An answer with a status, its body, and whether that came to its proper end.
+    /// A response: its status, its body, and whether the body is complete.
     Answer(u16, Vec<u8>, bool),
-    /// No answer.
+    /// No response.
     Nothing,
 }
 
 #[derive(Debug, Default)]
 struct Call {
+    /// Number of times that it arrived at a target.
     arrivals: u32,
+    /// Number of times that a target started to run it.
     runs: u32,
+    /// Whether its caller got a status that says that it was not run.
     not_run: bool,
 }
 
-/// The book of all calls.
+/// Records all calls and checks the guarantees.
 #[derive(Default)]
 pub struct Promises {
+    /// All calls by id.
     calls: RefCell<HashMap<String, Call>>,
+    /// Violations, each with a description.
     broken: RefCell<Vec<(Promise, String)>>,
+    /// Targets whose entries say that they are leaving, each with the instant since when.
     leaving: RefCell<HashMap<String, Instant>>,
+    /// When the second key was revoked.
     revoked_at: Cell<Option<Instant>>,
+    /// Since when routers can receive all updates of the store, if they can.
     settled_at: Cell<Option<Instant>>,
+    /// Number of calls that have ended.
     asked: Cell<u64>,
+    /// Number of calls that got status 200.
     served: Cell<u64>,
     budget: Budget,
     crashes: crashes::Seen,
@@ -94,12 +107,12 @@
 }
 
 impl Promises {
-    /// A promise was broken.
+    /// Records a violation of a guarantee.
     pub fn break_(&self, promise: Promise, how: String) {
         self.broken.borrow_mut().push((promise, how));
     }
 
-    /// A target's entry says that it leaves, or no longer does.
+    /// Records that a target's entry says that it is leaving, or no longer does.
     pub fn on_leaving(&self, target: &str, leaves: bool) {
         let mut leaving = self.leaving.borrow_mut();
         match leaves {
@@ -108,26 +121,29 @@
         };
     }
 
-    /// Whether the store can be reached and no gateway is paused: else nobody need know of a
-    /// target that leaves.
+    /// Records whether all routers can reach the store and none is paused. While that is not so, routers need
+    /// not know that a target is leaving.
     pub fn on_settled(&self, settled: bool) {
         let at = self.settled_at.get().unwrap_or_else(Instant::now);
         self.settled_at.set(settled.then_some(at));
     }
 
-    /// Whether that has been so for so long.
+    /// Returns whether all routers have been able to reach the store, with none paused, for more than this
+    /// time.
     pub fn is_settled(&self, for_: Duration) -> bool {
         let since = self.settled_at.get();
         since.is_some_and(|at| at.elapsed() > for_)
     }
 
-    /// The second key was taken away.
+    /// Records that the second key was revoked.
     pub fn on_revoked(&self) {
         self.revoked_at.set(Some(Instant::now()));
     }
 
-    /// A request ends the target that it reached. Gateways can know of the third ending where the store can be reached and
-    /// none is paused for long enough.
+    /// Records that the crashing request crashed the target that it reached.
+    ///
+    /// Routers can know of the third crash if the store could be reached and no router was paused for long
+    /// enough.
     pub fn on_crash(&self) {
         let seen = &self.crashes;
         seen.ended.set(seen.ended.get() + 1);
@@ -138,7 +154,7 @@
         seen.late.set(seen.late.get() + 1);
         if seen.late.get() > SENT_LATER {
             let how = format!(
-                "{} targets ended, {} late",
+                "{} targets crashed, {} after routers had to know",
                 seen.ended.get(),
                 seen.late.get()
             );
@@ -146,7 +162,7 @@
         }
     }
 
-    /// A call arrives at some target, which may refuse it.
+    /// Records that a call arrives at a target, which may still refuse it.
     pub fn on_arrival(&self, call: &str, target: &Target) {
         if let Some(how) = self.withdrawals.on_arrival(call, target) {
             self.break_(Promise::WithdrawnGetsNothing, how);
@@ -160,19 +176,19 @@
         }
     }
 
-    /// A caller sends a call.
+    /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str, at: Instant) {
         self.withdrawals.on_sent(call, at);
         self.budget.on_sent(call);
     }
 
-    /// A target begins to run a call.
+    /// Records that a target starts to run a call.
     pub fn on_run(&self, target: &str, call: &str, headers: &HeaderMap, body: &[u8]) {
         let mut calls = self.calls.borrow_mut();
         let book = calls.entry(call.to_owned()).or_default();
         book.runs += 1;
         if call.starts_with("once") && book.runs > 1 {
-            self.break_(Promise::AtMostOnce, format!("{call} at {target}"));
+            self.break_(Promise::AtMostOnce, format!("{call} ran again at {target}"));
         }
         if book.not_run {
             self.break_(
@@ -191,7 +207,7 @@
         }
     }
 
-    /// A caller's call ended; `sent` is when it was sent, `old_key` whether with the second key.
+    /// Records the outcome of a call that was sent at `sent`; `old_key` says whether it used the second key.
     pub fn on_end(&self, call: &str, end: &End, sent: Instant, old_key: bool) {
         self.asked.set(self.asked.get() + 1);
         let arrivals = self.calls.borrow().get(call).map_or(0, |c| c.arrivals);
@@ -208,10 +224,10 @@
             503 | 429 | 421 | 408 => {
                 let mut calls = self.calls.borrow_mut();
                 calls.entry(call.to_owned()).or_default().not_run = true;
-                // What may be repeated may have run at a target before another refused it; only
-                // the rest is a promise.
+                // A call that may be retried may have run at one target before another refused it. Only a
+                // call that must not be retried is guaranteed not to have run.
                 if ran && call.starts_with("once") {
-                    self.break_(Promise::NotRunIsTrue, format!("{call} had run"));
+                    self.break_(Promise::NotRunIsTrue, format!("{call} had run earlier"));
                 }
             }
             _ => {}
@@ -219,10 +235,11 @@
         let revoked = self.revoked_at.get();
         let too_late = revoked.is_some_and(|at| sent > at + REVOKED_WITHIN);
         if old_key && too_late && ran {
-            self.break_(Promise::RevokedKeys, format!("{call} ran"));
+            self.break_(Promise::RevokedKeys, format!("{call} ran after revocation"));
         }
     }
 
+    /// Checks the body of a response with status 200.
     fn on_success(&self, call: &str, body: &[u8], complete: bool) {
         self.served.set(self.served.get() + 1);
         let right = match call.starts_with("stream") {
@@ -237,12 +254,12 @@
         }
     }
 
-    /// Calls that were served so far.
+    /// Returns the number of calls that were served so far.
     pub fn served(&self) -> u64 {
         self.served.get()
     }
 
-    /// What came of the run.
+    /// Returns the verdict on the run so far.
     pub fn verdict(&self) -> Verdict {
         Verdict {
             asked: self.asked.get(),
@@ -253,27 +270,30 @@
     }
 }
 
-/// What came of a run.
+/// Verdict on a run.
 #[derive(Debug)]
 pub struct Verdict {
+    /// Number of calls that have ended.
     asked: u64,
+    /// Number of calls that got status 200.
     served: u64,
-    /// Targets that ended under a request.
+    /// Number of targets that crashed under the crashing request.
     ended: u32,
+    /// Violations, each with a description.
     broken: Vec<(Promise, String)>,
 }
 
 impl Verdict {
-    /// Whether all promises were kept.
+    /// Returns whether no guarantee was violated.
     pub fn is_kept(&self) -> bool {
         self.broken.is_empty()
     }
 
-    /// For a person.
+    /// Formats the verdict as text for people.
     pub fn text(&self, plan: &Plan) -> String {
         let Plan { seed, vms, .. } = plan;
         let mut lines = vec![format!(
-            "seed {seed}, {vms} vms: {} calls, {} served, {} targets ended, {} promises broken",
+            "seed {seed}, {vms} vms: {} calls, {} served, {} targets crashed, {} promises broken",
             self.asked,
             self.served,
             self.ended,
@@ -284,7 +304,7 @@
         lines.join("\n")
     }
 
-    /// For a program.
+    /// Formats the verdict as JSON for programs.
     pub fn json(&self, plan: &Plan) -> String {
         let broken: Vec<String> = self
             .broken
--- a/soak/src/set_backs.rs
+++ b/soak/src/set_backs.rs
@@ -1,5 +1,6 @@
-//! A store that is away for a moment and comes back from an older copy, drawn from the seed. What operators and targets
-//! wrote is written again soon after.
+//! Short outages of the store after which it is restored from an older copy, derived from the seed.
+//!
+//! What operators and targets had written since the copy is written again soon after.
 
 use std::time::Duration;
 
@@ -14,18 +15,22 @@
     vm::{KEYS, Vm, World},
 };
 
-/// How old the copy is when the store goes away, how long it is away, and how soon what was lost is written again.
+/// Range of the copy's age when the store becomes unavailable, in milliseconds.
 const COPY_AGE_MS: std::ops::Range<u64> = 300..5_000;
+
+/// Range of the outage of the store, in milliseconds.
 const AWAY_MS: std::ops::Range<u64> = 0..3_000;
+
+/// Range of the time after which lost writes are written again, in milliseconds.
 const WRITTEN_AGAIN_MS: std::ops::Range<u64> = 0..400;
 
-/// What the keys of the gateways' own entries begin with.
+/// Prefix of the keys of the routers' own entries.
 const OWN: &str = "scaleford";
 
-/// Draws of their own, so that a seed's other faults stay as they are.
+/// Selects a separate random sequence, so that the other faults of a seed do not change.
 const STREAM: u128 = 0x7365_7420_6261_636b;
 
-/// Sets the store back over and over for a while.
+/// Reverts the store repeatedly for the given time.
 pub async fn inject(world: &World, seed: u64, for_: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), STREAM);
     let until = Instant::now() + for_;
@@ -46,14 +51,15 @@
     }
 }
 
-/// How long after it was written a configuration may be in force nowhere yet: the rule's two seconds, and one for this
-/// machine being busy.
+/// Time after its write within which a configuration has to be in force at all routers: the two seconds that
+/// the rule allows, and one second because the machine may be busy.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
 
-/// Writes of no concern that are lost: more than are made afterwards.
+/// Number of irrelevant writes that are lost. It is larger than the number of writes that follow the revert.
 const LOST: usize = 50;
 
-/// Sets the store back once more when all faults are over; what is written then has to be in force at all gateways.
+/// Reverts the store once more after all faults have ended. A configuration that is written after that has to
+/// be in force at all routers.
 pub async fn check(world: &World) {
     let copy = world.store.backup();
     for n in 0..LOST {
@@ -64,6 +70,7 @@
     write_and_expect(world).await;
 }
 
+/// Writes a new configuration and checks that it is in force at all routers in time.
 async fn write_and_expect(world: &World) {
     world.write_config(&KEYS[..1]);
     let version = world.version().get();
@@ -73,13 +80,13 @@
             .await
             .is_err()
         {
-            let how = format!("version {version} at {}", vm.callers);
+            let how = format!("version {version} is not in force at {}", vm.callers);
             world.promises.break_(Promise::ConfigInForce, how);
         }
     }
 }
 
-/// Calls the route that only this version of the configuration has until it is served.
+/// Calls the route that only this version of the configuration has, until a call is served.
 async fn until_served(vm: &Vm, n: usize, version: u64) {
     let kind = format!("only-{version}");
     let mut tries = 0;
@@ -95,11 +102,13 @@
     }
 }
 
+/// Sleeps for a random number of milliseconds from the range.
 async fn pause(rng: &mut Pcg64, ms: std::ops::Range<u64>) {
     tokio::time::sleep(Duration::from_millis(rng.random_range(ms))).await;
 }
 
-/// Writes what others than the gateways had written since the copy, unless they have written something newer meanwhile.
+/// Restores the entries that others than the routers had written or removed since the copy, except those that
+/// have been changed again since the revert.
 fn write_again(world: &World, lost: &Kv, copy: &Kv) {
     let value = |kv: &Kv, key: &String| kv.items.get(key).map(|i| i.value.clone());
     let now = world.store.backup();
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -1,4 +1,4 @@
-//! A target that keeps a book of what it ran.
+//! Simulated target that reports the calls that it receives and runs.
 
 use std::{
     cell::{Cell, OnceCell},
@@ -24,41 +24,42 @@
     withdrawals::Says,
 };
 
-/// How a target behaves.
+/// How a target handles calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Mood {
     #[default]
     Well,
-    /// Refuses calls as not run.
+    /// Refuses calls and reports them as not run.
     Full,
-    /// Fails calls by itself.
+    /// Runs calls and responds with status 500.
     Failing,
-    /// Runs calls and breaks the answer off.
+    /// Runs calls and resets the connection in the middle of the response.
     Cutting,
-    /// Runs calls and never answers.
+    /// Runs calls and never responds.
     Hanging,
 }
 
-/// One target.
+/// A simulated target.
 pub struct Target {
     pub id: String,
     pub mood: Cell<Mood>,
-    /// What it says of itself.
+    /// What it announces about itself in responses.
     pub says: Cell<Says>,
-    /// Which life of it this is, and since when.
+    /// Number of its restarts, which identifies the current instance.
     pub births: Cell<u64>,
+    /// When the current instance started.
     pub born: Cell<Instant>,
-    /// The way to it.
+    /// Link through which routers reach it.
     pub link: OnceCell<Rc<Link>>,
-    /// It ran a request that ends it.
+    /// Notified when it runs the request that crashes it.
     pub ending: Notify,
     promises: Rc<Promises>,
 }
 
-/// The time a plain call takes, and the pause between two events.
+/// Time that a plain call takes, and pause before each event of a stream.
 const WORK: Duration = Duration::from_millis(8);
 
-/// The last event of each stream.
+/// Number of the last event of each stream; the first one is 1.
 pub const LAST_EVENT: u64 = 12;
 
 impl Target {
@@ -81,27 +82,28 @@
         (target, address.await)
     }
 
-    /// Its name, and which life of it this is.
+    /// Returns its id and the number of its current instance.
     pub fn life(&self) -> (String, u64) {
         (self.id.clone(), self.births.get())
     }
 
-    /// It starts again under its name.
+    /// Starts a new instance under the same id.
     pub fn on_restart(&self) {
         self.births.set(self.births.get() + 1);
         self.born.set(Instant::now());
         self.says.set(Says::Nothing);
     }
 
-    /// Whether the way to it has passed everything on for so long.
+    /// Returns whether its link has had no fault for at least this time.
     pub fn link_is_sound(&self, for_: Duration) -> bool {
         self.link.get().is_some_and(|link| link.is_sound(for_))
     }
 
+    /// Handles a request.
     async fn answer(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
         let (head, body) = req.into_parts();
         let call = text(&head.headers, "x-attempt-id").to_owned();
-        // A caller that left in the middle of its request has none.
+        // The body is incomplete if the caller closed the connection in the middle of its request.
         let Ok(body) = body.collect().await else {
             return coded(400);
         };
@@ -129,9 +131,9 @@
         if let Ok(id) = call.parse() {
             headers.insert("x-attempt-id", id);
         }
-        headers.insert("x-server-seal", "seal".parse().expect("a plain text"));
+        headers.insert("x-server-seal", "seal".parse().expect("a header value"));
         if mood == Mood::Full {
-            headers.insert("x-not-run", "1".parse().expect("a plain text"));
+            headers.insert("x-not-run", "1".parse().expect("a header value"));
         }
         match self.says.get() {
             Says::Leaving => drop(headers.insert("server-leaving", 1.into())),
@@ -144,6 +146,7 @@
         res
     }
 
+    /// Runs a call and returns its response.
     async fn run(&self, headers: &HeaderMap, call: &str, mood: Mood) -> Response<Body> {
         tokio::time::sleep(WORK).await;
         let is_stream = call.starts_with("stream");
@@ -157,16 +160,19 @@
     }
 }
 
-/// The only right answer to a plain call.
+/// Returns the expected body of the response to a plain call.
 pub fn answer_to(call: &str) -> String {
     format!("answer to {call}")
 }
 
-/// The event of a call's stream with this number.
+/// Returns the event with this number of a call's stream.
 pub fn event(call: &str, n: u64) -> String {
     format!("id: {n}\ndata: {call} {n}\n\n")
 }
 
+/// Returns a stream of events up to `last` that resumes after the caller's `last-event-id`.
+///
+/// If `breaks` is set, it ends with a connection reset.
 fn events(headers: &HeaderMap, call: &str, last: u64, breaks: bool) -> Body {
     let first = text(headers, "last-event-id").parse().unwrap_or(0) + 1;
     let call = call.to_owned();
@@ -185,12 +191,14 @@
     StreamBody::new(pieces).boxed_unsync()
 }
 
+/// Returns a response with this status.
 fn coded(status: u16) -> Response<Body> {
     let mut res = Response::new(whole("no"));
-    *res.status_mut() = status.try_into().expect("a known status");
+    *res.status_mut() = status.try_into().expect("a valid status code");
     res
 }
 
+/// Returns the value of a header as text, or an empty text.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default()
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -1,5 +1,5 @@
-//! The world of one run: gateways as processes, each on a loopback address of its own, before
-//! targets and a store that links lead to.
+//! Environment of one run: router processes, each on its own loopback address, and the targets and the store
+//! that they reach through links.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,47 +24,57 @@
     withdrawals,
 };
 
-/// Targets, of which one may leave.
+/// Number of targets. The entry of one of them may say that it is leaving.
 const TARGETS: usize = 4;
 
-/// How long a start or a planned stop may take, with the machine busy.
+/// Maximum time for a start, a graceful shutdown or the recovery, even on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// One gateway.
+/// A router process.
 pub struct Vm {
+    /// Its index among the routers of the run.
     n: usize,
     promises: Rc<Promises>,
+    /// Address at which it accepts calls.
     pub callers: SocketAddr,
+    /// Address of its readiness endpoint.
     ready: SocketAddr,
+    /// Path of its settings file.
     settings: PathBuf,
+    /// Path of its log file.
     log: PathBuf,
+    /// Path of the router program.
     program: PathBuf,
     child: RefCell<Option<Child>>,
-    /// It was asked to stop, and its calls must not be cut off.
+    /// Whether it was asked to shut down gracefully, so that its calls must not be cut off.
     pub stopping: Cell<bool>,
-    /// It was told to end, also if it has not yet.
+    /// Whether it was killed or asked to shut down, even if it has not exited yet.
     pub ending: Cell<bool>,
-    /// It was paused and not resumed.
+    /// Whether it is paused.
     pub paused: Cell<bool>,
-    /// Its own way to the store.
+    /// Its link to the store.
     pub store_link: Rc<Link>,
-    /// The newest configuration that this life of it was seen to have in force.
+    /// Newest configuration version that this process was observed to have in force.
     pub seen_version: Cell<u64>,
-    /// It was killed or paused since the last planned stop began.
+    /// Whether it was killed or paused since it was last started or asked to shut down, or was paused when
+    /// asked.
     pub harmed: Cell<bool>,
 }
 
-/// All that a run is made of.
+/// Routers, targets and store of a run.
 pub struct World {
     pub vms: Vec<Rc<Vm>>,
+    /// Targets, each with the link through which routers reach it.
     pub targets: Vec<(Rc<Target>, Rc<Link>)>,
     pub store: Rc<Store>,
     pub promises: Rc<Promises>,
+    /// Version of the configuration that was written last.
     version: Rc<Cell<u64>>,
+    /// Directory of the routers' settings and logs.
     dir: PathBuf,
 }
 
-/// The keys of the one account; the second is taken away in some runs.
+/// API keys of the only account. The second one is revoked in some runs.
 pub const KEYS: [&str; 2] = ["key-that-stays", "key-that-goes"];
 
 impl World {
@@ -74,17 +84,17 @@
         let mut targets = Vec::new();
         for n in 0..TARGETS {
             let (target, address) = Target::start(&format!("i-{n}"), &promises).await;
-            let link = Link::start(address).await.expect("a port");
+            let link = Link::start(address).await.expect("free port");
             target.link.get_or_init(|| Rc::clone(&link));
             targets.push((target, link));
         }
         let name = format!("scaleford-soak-{}-{}", std::process::id(), plan.seed);
         let dir = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&dir).expect("a folder for settings and logs");
+        std::fs::create_dir_all(&dir).expect("a directory for settings and logs");
         let ports = free_ports();
         let mut vms = Vec::new();
         for n in 0..plan.vms {
-            let link = Link::start(store.server.address).await.expect("a port");
+            let link = Link::start(store.server.address).await.expect("free port");
             vms.push(vm(plan, n, ports, link, &dir, &promises));
         }
         let world = Self {
@@ -103,15 +113,17 @@
         world
     }
 
-    /// Waits until all gateways are ready.
+    /// Waits until all routers are ready.
+    ///
+    /// Panics if one of them takes too long.
     pub async fn until_ready(&self) {
         for vm in &self.vms {
             let ready = tokio::time::timeout(PATIENCE, vm.until_ready()).await;
-            assert!(ready.is_ok(), "{} is not ready", vm.callers);
+            assert!(ready.is_ok(), "router at {} is not ready", vm.callers);
         }
     }
 
-    /// Writes a new version of the configuration with these keys.
+    /// Writes a new version of the configuration, in which the account has these keys.
     pub fn write_config(&self, keys: &[&str]) {
         self.version.set(self.version.get() + 1);
         let route = |kind: &str, resumable: bool, prefix: &str| {
@@ -128,12 +140,12 @@
         self.store.put("op/config", config.to_string().as_bytes());
     }
 
-    /// The version of the configuration that was written last.
+    /// Returns the version of the configuration that was written last, as a shared cell.
     pub fn version(&self) -> Rc<Cell<u64>> {
         Rc::clone(&self.version)
     }
 
-    /// A target starts again under its name.
+    /// Restarts a target under the same name, and writes its entry.
     pub fn on_restart(&self, id: &str) {
         if let Some((target, _)) = self.targets.iter().find(|(t, _)| t.id == id) {
             target.on_restart();
@@ -141,7 +153,7 @@
         self.write_entry(id, "ready");
     }
 
-    /// Writes a target's entry.
+    /// Writes the store entry of a target with this state.
     pub fn write_entry(&self, id: &str, state: &str) {
         let found = self.targets.iter().find(|(t, _)| t.id == id);
         let Some((target, link)) = found else { return };
@@ -153,7 +165,7 @@
         self.promises.on_leaving(id, state != "ready");
     }
 
-    /// Ends all faults, and starts what is not running.
+    /// Ends all faults, starts the routers that are not running, and waits until all are ready.
     pub async fn heal(&self) {
         self.store.set_fault(StoreFault::default());
         for (target, link) in &self.targets {
@@ -170,7 +182,7 @@
         self.until_ready().await;
     }
 
-    /// Stops all gateways as planned.
+    /// Shuts all routers down gracefully. The logs are kept if a guarantee was violated.
     pub async fn stop(&self) {
         for vm in &self.vms {
             vm.signal(Signal::TERM);
@@ -179,21 +191,22 @@
             vm.until_ended().await;
         }
         match self.promises.verdict().is_kept() {
-            // Nothing depends on whether the logs of a good run are left behind.
+            // An error is ignored: leftover logs of a successful run do no harm.
             true => drop(std::fs::remove_dir_all(&self.dir)),
-            false => eprintln!("logs are in {}", self.dir.display()),
+            false => eprintln!("the routers' logs are in {}", self.dir.display()),
         }
     }
 }
 
-/// Two ports that are free on loopback now; gateways have them on addresses of their own.
+/// Returns four ports that are free on loopback now. Each router uses all of them on its own address.
 fn free_ports() -> [u16; 4] {
     [(); 4].map(|()| {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.local_addr().expect("a bound port").port()
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("free port");
+        listener.local_addr().expect("a bound address").port()
     })
 }
 
+/// Writes the settings file of a router, and returns the router without starting it.
 fn vm(
     plan: &Plan,
     n: usize,
@@ -202,7 +215,7 @@
     dir: &std::path::Path,
     promises: &Rc<Promises>,
 ) -> Rc<Vm> {
-    // Runs beside one another have networks of their own.
+    // Each process of the soak test has its own loopback network, so that concurrent runs do not collide.
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let ip = |n: usize| Ipv4Addr::new(127, high.max(1), low, n as u8 + 1);
     let [front, ready, control, peers] = ports;
@@ -218,7 +231,7 @@
             "budgetExtra": 54, "graceS": 8},
         "platform": {"address": store_link.address.to_string()}});
     let path = dir.join(format!("front-{n}.json"));
-    std::fs::write(&path, settings.to_string()).expect("a settings file");
+    std::fs::write(&path, settings.to_string()).expect("a writable settings file");
     Rc::new(Vm {
         n,
         promises: Rc::clone(promises),
@@ -238,6 +251,7 @@
 }
 
 impl Vm {
+    /// Starts the process.
     fn start(&self) {
         let log = std::fs::File::options()
             .create(true)
@@ -246,10 +260,10 @@
         let child = Command::new(&self.program)
             .env("SCALEFORD_CONFIG", &self.settings)
             .stdin(Stdio::null())
-            .stdout(log.expect("a log file"))
+            .stdout(log.expect("a writable log file"))
             .kill_on_drop(true)
             .spawn();
-        *self.child.borrow_mut() = Some(child.expect("the program starts"));
+        *self.child.borrow_mut() = Some(child.expect("the router program starts"));
         self.stopping.set(false);
         self.ending.set(false);
         self.harmed.set(false);
@@ -257,7 +271,7 @@
         self.promises.withdrawals.on_interrupted(self.n);
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process, if it is running.
     pub fn signal(&self, signal: Signal) {
         if signal != Signal::HUP {
             self.promises.withdrawals.on_interrupted(self.n);
@@ -266,18 +280,18 @@
         let id = child.as_ref().and_then(Child::id);
         let pid = id.and_then(|id| Pid::from_raw(id.cast_signed()));
         if let Some(pid) = pid {
-            // A process that has just ended takes no signal.
+            // An error is ignored: the process may just have exited.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Lets a paused process go on.
+    /// Resumes the process if it is paused.
     pub fn resume(&self) {
         self.paused.set(false);
         self.signal(Signal::CONT);
     }
 
-    /// Whether the process has not ended.
+    /// Returns whether the process is running.
     pub fn runs(&self) -> bool {
         let mut child = self.child.borrow_mut();
         child
@@ -285,20 +299,22 @@
             .is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    /// Waits for the process's end; kills it if it takes too long, and says whether it did.
+    /// Waits until the process exits, and kills it if that takes too long.
+    ///
+    /// Returns whether it exited without being killed.
     pub async fn until_ended(&self) -> bool {
         let Some(mut child) = self.child.borrow_mut().take() else {
             return true;
         };
         let ended = tokio::time::timeout(PATIENCE, child.wait()).await.is_ok();
         if !ended {
-            // It is dropped right after, which kills it as well.
+            // An error is ignored: the drop right after this kills the process as well.
             let _ = child.start_kill();
         }
         ended
     }
 
-    /// Starts it anew if it has ended or is about to.
+    /// Starts the process again if it has exited or is about to, after it has exited.
     pub async fn ensure_runs(&self) {
         if self.ending.get() || !self.runs() {
             self.until_ended().await;
@@ -306,6 +322,7 @@
         }
     }
 
+    /// Waits until the router's readiness endpoint responds with status 200.
     async fn until_ready(&self) {
         loop {
             let asked = Caller::connect(self.ready).await;
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -1,5 +1,5 @@
-//! Targets that say in their answers that they leave, or that they want no calls for a while, drawn from the seed,
-//! and the book of what gateways send them after that.
+//! Targets that announce in their responses that they are leaving or that they accept no calls for a while,
+//! derived from the seed, and the check of what routers send to them after that.
 
 use std::{cell::RefCell, collections::HashMap, time::Duration};
 
@@ -9,30 +9,34 @@
 
 use crate::{target::Target, vm::World};
 
-/// What a target says of itself.
+/// What a target announces about itself in responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Says {
     #[default]
     Nothing,
-    /// It leaves, in all its answers.
+    /// It is leaving; all its responses say so.
     Leaving,
-    /// It turns all calls away and wants none for so many seconds.
+    /// It refuses all calls, and accepts none for this number of seconds.
     Backoff(u64),
 }
 
-/// The pause between two changes, and how long a target says the same.
+/// Range of the pause between two changes, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 200..1_200;
+
+/// Range of the time for which a target makes the same announcement, in milliseconds.
 const SAYS_FOR_MS: std::ops::Range<u64> = 1_000..7_000;
+
+/// Range of the time for which a target accepts no calls, in seconds.
 const BACKOFF_S: std::ops::Range<u64> = 2..5;
 
-/// Gateways know of a life of a target that is so old, where the store can be reached. What a younger one says
-/// may count for the life before: they have no other way to know.
+/// Age of a target's instance from which all routers know it, provided that they can reach the store. Routers
+/// may attribute an announcement of a younger instance to the previous one, as they can't tell the two apart.
 const KNOWN_AFTER: Duration = Duration::from_secs(3);
 
-/// Draws of their own, so that a seed's other faults stay as they are.
+/// Selects a separate random sequence, so that the other faults of a seed do not change.
 const STREAM: u128 = 0x7769_7468_6472_6177;
 
-/// Makes targets say such things for a while.
+/// Makes random targets withdraw for the given time.
 pub async fn inject(world: &World, seed: u64, for_: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), STREAM);
     let until = Instant::now() + for_;
@@ -69,7 +73,7 @@
     }
 }
 
-/// A target says nothing any more; one that left starts again.
+/// Ends the announcement of a target. A target that was leaving is restarted.
 pub fn fall_silent(world: &World, target: &Target) {
     match target.says.get() {
         Says::Leaving => world.on_restart(&target.id),
@@ -77,59 +81,70 @@
     }
 }
 
-/// How long after an answer was passed on that says so a leaving target may still be sent what callers send: the
-/// rule's two seconds. Callers count from when they sent a call, so a busy machine adds nothing.
+/// Time for which a router may still send a leaving target calls, counted from when it forwarded a response
+/// that announces the leaving: the two seconds that the rule allows. Whether a call is too late depends on
+/// when its caller sent it, so a busy machine needs no extra time.
 const LEAVES_WITHIN: Duration = Duration::from_secs(2);
 
-/// How long after it asked for time a target may still get calls: the rule's half second, and one for this
-/// machine being busy; and how many it may get until that time is over.
+/// Time for which a target may still get calls after it asked for a backoff: the half second that the rule
+/// allows, and one second because the machine may be busy.
 const HEARD_WITHIN: Duration = Duration::from_millis(1_500);
+
+/// Maximum number of calls that a target may get between the end of that time and the end of its backoff.
 const ARRIVALS: usize = 2;
 
-/// For so long a link has to have been sound before it counts as passing answers on.
+/// Time for which a link must have had no fault before it counts as delivering responses.
 const LINK_SOUND: Duration = Duration::from_secs(1);
 
-/// A target, and which life of it.
+/// Id of a target and number of its instance.
 type Life = (String, u64);
 
-/// A time that a target asked a gateway for.
+/// A backoff that a target asked a router for.
 #[derive(Debug)]
 struct Asked {
+    /// When the target asked for it.
     at: Instant,
+    /// When the backoff ends.
     until: Instant,
+    /// Number of calls that arrived from the router although it had to know of the backoff.
     arrivals: usize,
 }
 
-/// What targets said to which gateway, as far as it has to remember that.
+/// Records which target announced what to which router, as far as the router has to remember it.
 #[derive(Debug, Default)]
 pub struct Book {
-    /// When calls were sent by their callers.
+    /// When each call was sent by its caller, by the call's id.
     sent: RefCell<HashMap<String, Instant>>,
-    /// Which target last answered a call, saying that it leaves.
+    /// Instance that last responded to a call with the announcement that it is leaving, by the call's id.
     answered: RefCell<HashMap<String, Life>>,
-    /// Since when a gateway has passed on that a target leaves.
+    /// When a router first forwarded the announcement that an instance is leaving.
     leaving: RefCell<HashMap<(usize, Life), Instant>>,
+    /// Backoffs that an instance asked a router for.
     asked: RefCell<HashMap<(usize, Life), Vec<Asked>>>,
 }
 
-/// The gateway through which a call comes, by its id (`KIND-GATEWAY-CALLER-NUMBER`).
+/// Returns the index of the router that a call was sent to, from the call's id (`KIND-ROUTER-CALLER-NUMBER`).
 fn gateway(call: &str) -> Option<usize> {
     call.rsplit('-').nth(2)?.parse().ok()
 }
 
 impl Book {
-    /// A caller sends a call.
+    /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str, at: Instant) {
         self.sent.borrow_mut().insert(call.to_owned(), at);
     }
 
-    /// A gateway is started, killed, stopped or paused, or goes on: it may have forgotten.
+    /// Drops what a router had to remember.
+    ///
+    /// Called when it is started, killed, shut down, paused or resumed, as it may have forgotten it.
     pub fn on_interrupted(&self, gateway: usize) {
         self.leaving.borrow_mut().retain(|(g, _), _| *g != gateway);
         self.asked.borrow_mut().retain(|(g, _), _| *g != gateway);
     }
 
-    /// A call arrives at a target; returns what that breaks.
+    /// Records that a call arrives at a target.
+    ///
+    /// Returns a description of the violation if the call should not have been sent there.
     pub fn on_arrival(&self, call: &str, target: &Target) -> Option<String> {
         let gateway = gateway(call)?;
         let life = (gateway, target.life());
@@ -138,7 +153,7 @@
         if let Some((since, sent)) = leaving.zip(sent)
             && sent > since + LEAVES_WITHIN
         {
-            return Some(format!("{call} at {:?}, which leaves", life.1));
+            return Some(format!("{call} at {:?}, which is leaving", life.1));
         }
         let is_cut = !target.link_is_sound(LINK_SOUND);
         let now = Instant::now();
@@ -151,13 +166,13 @@
         let most = times.iter().map(|a| a.arrivals).max()?;
         (most > ARRIVALS).then(|| {
             format!(
-                "{call}, one of {most} at {:?}, which asked for time",
+                "{call}, one of {most} at {:?}, which asked for a backoff",
                 life.1
             )
         })
     }
 
-    /// A target answers a call and says something of itself.
+    /// Records that a target responds to a call with an announcement about itself.
     pub fn on_answer(&self, call: &str, target: &Target) {
         let Some(gateway) = gateway(call) else { return };
         match target.says.get() {
@@ -181,7 +196,7 @@
         }
     }
 
-    /// A caller has the answer of a target to its call, of which no other target was asked.
+    /// Records that a caller received a target's response to a call that was sent to no other target.
     pub fn on_passed_on(&self, call: &str) {
         let answered = self.answered.borrow_mut().remove(call);
         let Some((gateway, life)) = gateway(call).zip(answered) else {
