--- a/soak/src/budget.rs
+++ b/soak/src/budget.rs
@@ -57,23 +57,23 @@
         forget_before(&mut self.calls.borrow_mut(), now, WINDOW * 2);
         forget_before(&mut self.repeats.borrow_mut(), now, WINDOW);
         let allowed = RATIO * self.most_calls(now) as f64 + EXTRA;
-        let repeats = self.repeats.borrow().len();
-        let is_kept = repeats as f64 <= allowed;
-        (!is_kept).then(|| format!("{repeats} retries where {allowed:.0} are allowed"))
+        let retries = self.repeats.borrow().len();
+        let is_within_budget = retries as f64 <= allowed;
+        (!is_within_budget).then(|| format!("{retries} retries where {allowed:.0} are allowed"))
     }
 
     /// Returns the largest number of calls in a window that ends now, half a window ago or one window ago.
     fn most_calls(&self, now: Instant) -> usize {
         let calls = self.calls.borrow();
-        let ended = |ago: Duration| {
-            let within = |at: &&Instant| {
+        let count = |ago: Duration| {
+            let is_within = |at: &&Instant| {
                 let age = now.duration_since(**at);
                 (ago..ago + WINDOW).contains(&age)
             };
-            calls.iter().filter(within).count()
+            calls.iter().filter(is_within).count()
         };
-        let ends = [Duration::ZERO, WINDOW / 2, WINDOW];
-        ends.map(ended).into_iter().max().unwrap_or_default()
+        let window_ends = [Duration::ZERO, WINDOW / 2, WINDOW];
+        window_ends.map(count).into_iter().max().unwrap_or_default()
     }
 }
 
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -52,8 +52,8 @@
     pub async fn is_ok(&mut self) -> bool {
         let req = Request::get("/").header("host", "x").body(Full::default());
         let Ok(req) = req else { return false };
-        let answer = tokio::time::timeout(DEADLINE, self.sender.send_request(req)).await;
-        matches!(answer, Ok(Ok(res)) if res.status() == 200)
+        let response = tokio::time::timeout(DEADLINE, self.sender.send_request(req)).await;
+        matches!(response, Ok(Ok(res)) if res.status() == 200)
     }
 
     /// Sends a call whose body is its id, and returns its outcome.
@@ -70,8 +70,8 @@
             .header("authorization", format!("Token {key}"))
             .body(Full::from(body.to_owned()));
         let Ok(req) = req else { return End::Nothing };
-        let answer = tokio::time::timeout(DEADLINE, self.sender.send_request(req)).await;
-        let Ok(Ok(res)) = answer else {
+        let response = tokio::time::timeout(DEADLINE, self.sender.send_request(req)).await;
+        let Ok(Ok(res)) = response else {
             return End::Nothing;
         };
         let status = res.status().as_u16();
@@ -97,16 +97,16 @@
 
 /// Starts the callers of each router.
 pub fn start(world: &World, seed: u64) -> Calling {
-    let over = Rc::new(Cell::new(false));
+    let stop = Rc::new(Cell::new(false));
     let mut tasks = Vec::new();
-    for (v, vm) in world.vms.iter().enumerate() {
-        for c in 0..CALLERS {
-            let rng = Pcg64::seed_from_u64(seed ^ (v * CALLERS + c + 1) as u64);
-            let name = format!("{v}-{c}");
+    for (vm_index, vm) in world.vms.iter().enumerate() {
+        for caller_index in 0..CALLERS {
+            let rng = Pcg64::seed_from_u64(seed ^ (vm_index * CALLERS + caller_index + 1) as u64);
+            let name = format!("{vm_index}-{caller_index}");
             let task = go_on_calling(
                 Rc::clone(vm),
                 Rc::clone(&world.promises),
-                Rc::clone(&over),
+                Rc::clone(&stop),
                 world.version(),
                 rng,
                 name,
@@ -116,7 +116,7 @@
     }
     Calling {
         tasks,
-        over,
+        over: stop,
         promises: Rc::clone(&world.promises),
     }
 }
@@ -125,23 +125,23 @@
 async fn go_on_calling(
     vm: Rc<Vm>,
     promises: Rc<Promises>,
-    over: Rc<Cell<bool>>,
+    stop: Rc<Cell<bool>>,
     version: Rc<Cell<u64>>,
     mut rng: Pcg64,
     name: String,
 ) {
-    let mut kept: Option<Caller> = None;
+    let mut idle_caller: Option<Caller> = None;
     let mut n = 0_u64;
-    while !over.get() {
+    while !stop.get() {
         n += 1;
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..PAUSE_MS))).await;
         // Each configuration version has its own route, which shows which version is in force.
-        let asked = version.get().saturating_sub(rng.random_range(0..3));
-        let only = format!("only-{asked}");
-        let kind = ["safe", "once", "stream", only.as_str()][rng.random_range(0..4)];
-        let old_key = rng.random_bool(0.2);
+        let requested_version = version.get().saturating_sub(rng.random_range(0..3));
+        let version_kind = format!("only-{requested_version}");
+        let kind = ["safe", "once", "stream", version_kind.as_str()][rng.random_range(0..4)];
+        let uses_second_key = rng.random_bool(0.2);
         let id = format!("{kind}-{name}-{n}");
-        let mut caller = match kept.take().filter(|c| c.sender.is_ready()) {
+        let mut caller = match idle_caller.take().filter(|c| c.sender.is_ready()) {
             Some(caller) => caller,
             None => match Caller::connect(vm.callers).await {
                 Some(caller) => caller,
@@ -149,23 +149,32 @@
             },
         };
         let stopping = vm.stopping.get();
-        let seen = vm.seen_version.get();
-        let sent = Instant::now();
-        promises.on_sent(&id, sent);
-        let end = caller.call(kind, &id, KEYS[usize::from(old_key)]).await;
-        promises.on_end(&id, &end, sent, old_key);
-        if kind == only && matches!(end, End::Answer(200, ..)) && vm.seen_version.get() >= seen {
-            vm.seen_version.set(vm.seen_version.get().max(asked));
-            if asked < seen {
-                promises.break_(Promise::ConfigNeverBack, format!("{id} after v{seen}"));
+        let served_version = vm.seen_version.get();
+        let sent_at = Instant::now();
+        promises.on_sent(&id, sent_at);
+        let outcome = caller
+            .call(kind, &id, KEYS[usize::from(uses_second_key)])
+            .await;
+        promises.on_end(&id, &outcome, sent_at, uses_second_key);
+        if kind == version_kind
+            && matches!(outcome, End::Answer(200, ..))
+            && vm.seen_version.get() >= served_version
+        {
+            vm.seen_version
+                .set(vm.seen_version.get().max(requested_version));
+            if requested_version < served_version {
+                promises.break_(
+                    Promise::ConfigNeverBack,
+                    format!("{id} after v{served_version}"),
+                );
             }
         }
-        let cut = matches!(end, End::Answer(200, _, false));
-        if cut && stopping && !vm.harmed.get() && !vm.runs() {
+        let is_truncated = matches!(outcome, End::Answer(200, _, false));
+        if is_truncated && stopping && !vm.harmed.get() && !vm.runs() {
             promises.break_(Promise::StopCutsNothing, id);
         }
-        if end != End::Nothing {
-            kept = Some(caller);
+        if outcome != End::Nothing {
+            idle_caller = Some(caller);
         }
     }
 }
@@ -173,13 +182,13 @@
 impl Calling {
     /// Waits until enough calls are served after the faults, and records a violation if that takes too long.
     pub async fn until_served_again(&self) {
-        let before = self.promises.served();
-        let until = Instant::now() + PATIENCE;
-        while self.promises.served() < before + SERVED_AGAIN {
-            if Instant::now() > until {
-                let served = self.promises.served() - before;
-                let how = format!("only {served} calls served in {PATIENCE:?}");
-                self.promises.break_(Promise::Recovery, how);
+        let served_before = self.promises.served();
+        let deadline = Instant::now() + PATIENCE;
+        while self.promises.served() < served_before + SERVED_AGAIN {
+            if Instant::now() > deadline {
+                let served = self.promises.served() - served_before;
+                let description = format!("only {served} calls served in {PATIENCE:?}");
+                self.promises.break_(Promise::Recovery, description);
                 return;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -53,8 +53,8 @@
             if let Some(mut caller) = Caller::connect(vm.callers).await {
                 // The outcome is ignored: only what targets observe is checked.
                 let id = format!("crash-{n}");
-                let sent = caller.send("safe", &id, KEYS[0], BODY);
-                let _ = tokio::time::timeout(PATIENCE, sent).await;
+                let call = caller.send("safe", &id, KEYS[0], BODY);
+                let _ = tokio::time::timeout(PATIENCE, call).await;
             }
         }
     });
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -29,10 +29,10 @@
 ];
 
 /// Writes random entries for the given time.
-pub async fn inject(world: &World, seed: u64, for_: Duration) {
+pub async fn inject(world: &World, seed: u64, duration: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), STREAM);
-    let until = Instant::now() + for_;
-    while Instant::now() < until {
+    let end = Instant::now() + duration;
+    while Instant::now() < end {
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         tokio::time::sleep(pause).await;
         write(world, &mut rng);
@@ -42,14 +42,18 @@
 
 /// Restarts a target, or writes or removes a random entry.
 fn write(world: &World, rng: &mut Pcg64) {
-    let foreign = FOREIGN.choose(rng).copied().unwrap_or_default();
+    let invalid_entry = FOREIGN.choose(rng).copied().unwrap_or_default();
     match rng.random_range(0..6) {
         0 | 1 => {
             if let Some((target, _)) = world.targets.choose(rng) {
                 world.on_restart(&target.id);
             }
         }
-        2 => drop(world.store.put("servers/i-foreign", foreign.as_bytes())),
+        2 => drop(
+            world
+                .store
+                .put("servers/i-foreign", invalid_entry.as_bytes()),
+        ),
         3 => world.store.put_garbled("servers/i-garbled"),
         4 => drop(world.store.put(EVACUATION, b"{}")),
         _ => world.store.remove(EVACUATION),
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -21,11 +21,11 @@
 const DELAY_MS: std::ops::Range<u64> = 20..400;
 
 /// Injects faults for the given time. Faults may still be in force when it returns.
-pub async fn inject(world: &World, rng: &mut Pcg64, for_: Duration) {
-    let until = Instant::now() + for_;
-    let revokes = rng.random_bool(0.5);
+pub async fn inject(world: &World, rng: &mut Pcg64, duration: Duration) {
+    let end = Instant::now() + duration;
+    let may_revoke = rng.random_bool(0.5);
     let mut revoked = false;
-    while Instant::now() < until {
+    while Instant::now() < end {
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         tokio::time::sleep(pause).await;
         match rng.random_range(0..14) {
@@ -38,7 +38,7 @@
             8 | 9 => change_link(world, rng),
             10 => change_store(world, rng),
             11 => change_entry(world, rng),
-            12 if revokes && !revoked => {
+            12 if may_revoke && !revoked => {
                 revoked = true;
                 world.write_config(&KEYS[..1]);
                 world.promises.on_revoked();
@@ -52,12 +52,12 @@
 
 /// Returns whether all links to the store and the store itself are without fault and no router is paused.
 fn is_settled(world: &World) -> bool {
-    let reached = world
+    let is_store_reachable = world
         .vms
         .iter()
         .all(|vm| vm.store_link.fault() == Fault::None);
-    let well = world.store.fault() == StoreFault::default();
-    reached && well && !world.vms.iter().any(|vm| vm.paused.get())
+    let is_store_healthy = world.store.fault() == StoreFault::default();
+    is_store_reachable && is_store_healthy && !world.vms.iter().any(|vm| vm.paused.get())
 }
 
 /// Starts each router that is not running, then kills a random one.
@@ -105,16 +105,17 @@
 }
 
 fn change_target(world: &World, rng: &mut Pcg64) {
-    let moods = [
-        Mood::Well,
-        Mood::Well,
+    let behaviors = [
+        Mood::Healthy,
+        Mood::Healthy,
         Mood::Full,
         Mood::Failing,
         Mood::Cutting,
         Mood::Hanging,
     ];
-    if let (Some((target, _)), Some(mood)) = (world.targets.choose(rng), moods.choose(rng)) {
-        target.mood.set(*mood);
+    if let (Some((target, _)), Some(behavior)) = (world.targets.choose(rng), behaviors.choose(rng))
+    {
+        target.mood.set(*behavior);
     }
 }
 
@@ -144,20 +145,26 @@
 /// Makes the store drop its history, reject all calls, break connections, respond slowly or lose the
 /// responses to writes, or ends its fault.
 fn change_store(world: &World, rng: &mut Pcg64) {
-    let well = StoreFault::default();
+    let healthy = StoreFault::default();
     let fault = match rng.random_range(0..8) {
         0 => return world.store.compact(),
-        1 => StoreFault { busy: true, ..well },
-        2 => StoreFault { down: true, ..well },
+        1 => StoreFault {
+            busy: true,
+            ..healthy
+        },
+        2 => StoreFault {
+            down: true,
+            ..healthy
+        },
         3 => StoreFault {
             slow: Duration::from_millis(rng.random_range(DELAY_MS)),
-            ..well
+            ..healthy
         },
         4 => StoreFault {
             lose_answers: rng.random_range(1..6),
-            ..well
+            ..healthy
         },
-        _ => well,
+        _ => healthy,
     };
     world.store.set_fault(fault);
 }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -53,14 +53,14 @@
 const CHUNK: usize = 16 << 10;
 
 impl Link {
-    /// Starts a proxy for the server `far` on a free loopback port.
-    pub async fn start(far: SocketAddr) -> std::io::Result<Rc<Self>> {
+    /// Starts a proxy for the server `upstream` on a free loopback port.
+    pub async fn start(upstream: SocketAddr) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let link = Rc::new(Self {
             address: listener.local_addr()?,
             fault: Cell::default(),
             harmed: Cell::default(),
-            far,
+            far: upstream,
             accepting: RefCell::default(),
             ended: Notify::new(),
         });
@@ -96,21 +96,21 @@
     }
 
     /// Returns whether the link has had no fault for at least this time.
-    pub fn is_sound(&self, for_: Duration) -> bool {
-        let harmed = self.harmed.get().is_some_and(|at| at.elapsed() < for_);
-        self.fault.get() == Fault::None && !harmed
+    pub fn is_sound(&self, duration: Duration) -> bool {
+        let had_recent_fault = self.harmed.get().is_some_and(|at| at.elapsed() < duration);
+        self.fault.get() == Fault::None && !had_recent_fault
     }
 
     fn accept(self: &Rc<Self>, listener: TcpListener) {
-        let served = Rc::clone(self);
+        let link = Rc::clone(self);
         let accepting = tokio::task::spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                if served.fault.get() == Fault::Reset {
-                    reset(&near);
+            while let Ok((client, _)) = listener.accept().await {
+                if link.fault.get() == Fault::Reset {
+                    reset(&client);
                     continue;
                 }
-                let far = served.far;
-                tokio::task::spawn_local(pass(Rc::clone(&served), near, far));
+                let upstream = link.far;
+                tokio::task::spawn_local(pass(Rc::clone(&link), client, upstream));
             }
         });
         *self.accepting.borrow_mut() = Some(accepting.abort_handle());
@@ -124,17 +124,17 @@
 }
 
 /// Connects to the server and passes bytes both ways until either end closes or a fault ends the connection.
-async fn pass(link: Rc<Link>, near: TcpStream, far: SocketAddr) {
-    let Ok(far) = TcpStream::connect(far).await else {
-        reset(&near);
+async fn pass(link: Rc<Link>, client: TcpStream, upstream_address: SocketAddr) {
+    let Ok(upstream) = TcpStream::connect(upstream_address).await else {
+        reset(&client);
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
     tokio::select! {
-        () = pump(&link, near_read, far_write, Fault::SilentThere) => {}
-        () = pump(&link, far_read, near_write, Fault::SilentBack) => {}
+        () = pump(&link, client_read, upstream_write, Fault::SilentThere) => {}
+        () = pump(&link, upstream_read, client_write, Fault::SilentBack) => {}
         () = until_reset(&link) => {}
         () = link.ended.notified() => {}
     }
@@ -146,19 +146,19 @@
     }
 }
 
-/// Passes bytes in one direction until either end closes. Passes none while the fault `silence` is in force.
-async fn pump(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, silence: Fault) {
+/// Passes bytes in one direction until either end closes. Passes none while the fault `stall` is in force.
+async fn pump(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, stall: Fault) {
     let mut buf = vec![0; CHUNK];
     loop {
         let n = match from.read(&mut buf).await {
             Ok(n) if n > 0 => n,
             _ => return,
         };
-        while link.fault.get() == silence {
+        while link.fault.get() == stall {
             tokio::time::sleep(LOOK_EVERY).await;
         }
-        if let Fault::Delay(by) = link.fault.get() {
-            tokio::time::sleep(by).await;
+        if let Fault::Delay(delay) = link.fault.get() {
+            tokio::time::sleep(delay).await;
         }
         if to.write_all(&buf[..n]).await.is_err() {
             return;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -77,8 +77,8 @@
         Ok(flags) => flags,
         Err(e) => e.exit(),
     };
-    let beside = std::env::current_exe().ok();
-    let beside = beside.map(|p| p.with_file_name("scalefordd"));
+    let default_program = std::env::current_exe().ok();
+    let default_program = default_program.map(|p| p.with_file_name("scalefordd"));
     let plan = Plan {
         seed: flags.seed.unwrap_or(1),
         faults_for: Duration::from_secs(flags.seconds.unwrap_or(10)),
@@ -87,7 +87,7 @@
         crashes: flags.crashes,
         withdrawals: flags.withdrawals,
         set_backs: flags.set_backs,
-        program: flags.program.or(beside).unwrap_or_default(),
+        program: flags.program.or(default_program).unwrap_or_default(),
     };
     if !plan.program.is_file() {
         eprintln!("no router at {}: build it first", plan.program.display());
@@ -122,8 +122,8 @@
     let world = Rc::new(vm::World::start(plan).await);
     let promises = Rc::clone(&world.promises);
     world.until_ready().await;
-    let calling = callers::start(&world, plan.seed);
-    let crashing = plan.crashes.then(|| crashes::start(&world, plan.seed));
+    let caller_tasks = callers::start(&world, plan.seed);
+    let crash_tasks = plan.crashes.then(|| crashes::start(&world, plan.seed));
     let entries = async {
         if plan.entries {
             entries::inject(&world, plan.seed, plan.faults_for).await;
@@ -142,16 +142,16 @@
     let faults = faults::inject(&world, &mut rng, plan.faults_for);
     tokio::join!(faults, entries, withdrawals, set_backs);
     world.heal().await;
-    calling.until_served_again().await;
+    caller_tasks.until_served_again().await;
     if plan.set_backs {
         set_backs::check(&world).await;
     }
-    if let Some(crashing) = crashing {
+    if let Some(crash_tasks) = crash_tasks {
         promises.on_settled(true);
         tokio::time::sleep(CRASHES_ON).await;
-        crashing.stop();
+        crash_tasks.stop();
     }
-    calling.stop().await;
+    caller_tasks.stop().await;
     world.stop().await;
     promises.verdict()
 }
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -108,14 +108,14 @@
 
 impl Promises {
     /// Records a violation of a guarantee.
-    pub fn break_(&self, promise: Promise, how: String) {
-        self.broken.borrow_mut().push((promise, how));
+    pub fn break_(&self, promise: Promise, description: String) {
+        self.broken.borrow_mut().push((promise, description));
     }
 
     /// Records that a target's entry says that it is leaving, or no longer does.
-    pub fn on_leaving(&self, target: &str, leaves: bool) {
+    pub fn on_leaving(&self, target: &str, is_leaving: bool) {
         let mut leaving = self.leaving.borrow_mut();
-        match leaves {
+        match is_leaving {
             true => leaving.insert(target.to_owned(), Instant::now()),
             false => leaving.remove(target),
         };
@@ -130,9 +130,9 @@
 
     /// Returns whether all routers have been able to reach the store, with none paused, for more than this
     /// time.
-    pub fn is_settled(&self, for_: Duration) -> bool {
+    pub fn is_settled(&self, duration: Duration) -> bool {
         let since = self.settled_at.get();
-        since.is_some_and(|at| at.elapsed() > for_)
+        since.is_some_and(|at| at.elapsed() > duration)
     }
 
     /// Records that the second key was revoked.
@@ -145,34 +145,34 @@
     /// Routers can know of the third crash if the store could be reached and no router was paused for long
     /// enough.
     pub fn on_crash(&self) {
-        let seen = &self.crashes;
-        seen.ended.set(seen.ended.get() + 1);
-        let can_know = seen.ended.get() > ENDED && self.is_settled(KNOWN_WITHIN);
+        let counts = &self.crashes;
+        counts.ended.set(counts.ended.get() + 1);
+        let can_know = counts.ended.get() > ENDED && self.is_settled(KNOWN_WITHIN);
         if !can_know {
             return;
         }
-        seen.late.set(seen.late.get() + 1);
-        if seen.late.get() > SENT_LATER {
-            let how = format!(
+        counts.late.set(counts.late.get() + 1);
+        if counts.late.get() > SENT_LATER {
+            let description = format!(
                 "{} targets crashed, {} after routers had to know",
-                seen.ended.get(),
-                seen.late.get()
+                counts.ended.get(),
+                counts.late.get()
             );
-            self.break_(Promise::HeldBack, how);
+            self.break_(Promise::HeldBack, description);
         }
     }
 
     /// Records that a call arrives at a target, which may still refuse it.
     pub fn on_arrival(&self, call: &str, target: &Target) {
-        if let Some(how) = self.withdrawals.on_arrival(call, target) {
-            self.break_(Promise::WithdrawnGetsNothing, how);
+        if let Some(description) = self.withdrawals.on_arrival(call, target) {
+            self.break_(Promise::WithdrawnGetsNothing, description);
         }
         let mut calls = self.calls.borrow_mut();
-        let book = calls.entry(call.to_owned()).or_default();
-        book.arrivals += 1;
-        let is_first = book.arrivals == 1;
-        if let Some(how) = self.budget.on_arrival(call, is_first) {
-            self.break_(Promise::RetryBudget, how);
+        let record = calls.entry(call.to_owned()).or_default();
+        record.arrivals += 1;
+        let is_first = record.arrivals == 1;
+        if let Some(description) = self.budget.on_arrival(call, is_first) {
+            self.break_(Promise::RetryBudget, description);
         }
     }
 
@@ -185,12 +185,12 @@
     /// Records that a target starts to run a call.
     pub fn on_run(&self, target: &str, call: &str, headers: &HeaderMap, body: &[u8]) {
         let mut calls = self.calls.borrow_mut();
-        let book = calls.entry(call.to_owned()).or_default();
-        book.runs += 1;
-        if call.starts_with("once") && book.runs > 1 {
+        let record = calls.entry(call.to_owned()).or_default();
+        record.runs += 1;
+        if call.starts_with("once") && record.runs > 1 {
             self.break_(Promise::AtMostOnce, format!("{call} ran again at {target}"));
         }
-        if book.not_run {
+        if record.not_run {
             self.break_(
                 Promise::NotRunIsTrue,
                 format!("{call} ran later at {target}"),
@@ -201,20 +201,22 @@
             self.break_(Promise::Unchanged, format!("{call} at {target}"));
         }
         let since = self.leaving.borrow().get(target).copied();
-        let long = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() > LEAVES_WITHIN);
-        if long(since) && self.is_settled(LEAVES_WITHIN) {
+        let is_overdue = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() > LEAVES_WITHIN);
+        if is_overdue(since) && self.is_settled(LEAVES_WITHIN) {
             self.break_(Promise::LeavingGetsNothing, format!("{call} at {target}"));
         }
     }
 
-    /// Records the outcome of a call that was sent at `sent`; `old_key` says whether it used the second key.
-    pub fn on_end(&self, call: &str, end: &End, sent: Instant, old_key: bool) {
+    /// Records the outcome of a call.
+    ///
+    /// `sent_at` is when it was sent, `uses_second_key` whether it was sent with the second key.
+    pub fn on_end(&self, call: &str, outcome: &End, sent_at: Instant, uses_second_key: bool) {
         self.asked.set(self.asked.get() + 1);
         let arrivals = self.calls.borrow().get(call).map_or(0, |c| c.arrivals);
-        if arrivals == 1 && matches!(end, End::Answer(200 | 500, ..)) {
+        if arrivals == 1 && matches!(outcome, End::Answer(200 | 500, ..)) {
             self.withdrawals.on_passed_on(call);
         }
-        let (status, body, complete) = match end {
+        let (status, body, complete) = match outcome {
             End::Answer(status, body, complete) => (*status, body.as_slice(), *complete),
             End::Nothing => return,
         };
@@ -233,22 +235,22 @@
             _ => {}
         }
         let revoked = self.revoked_at.get();
-        let too_late = revoked.is_some_and(|at| sent > at + REVOKED_WITHIN);
-        if old_key && too_late && ran {
+        let is_too_late = revoked.is_some_and(|at| sent_at > at + REVOKED_WITHIN);
+        if uses_second_key && is_too_late && ran {
             self.break_(Promise::RevokedKeys, format!("{call} ran after revocation"));
         }
     }
 
     /// Checks the body of a response with status 200.
-    fn on_success(&self, call: &str, body: &[u8], complete: bool) {
+    fn on_success(&self, call: &str, body: &[u8], is_complete: bool) {
         self.served.set(self.served.get() + 1);
-        let right = match call.starts_with("stream") {
+        let expected = match call.starts_with("stream") {
             true => (1..=LAST_EVENT).map(|n| event(call, n)).collect::<String>(),
             false => answer_to(call),
         };
-        let is_start = right.as_bytes().starts_with(body);
-        let is_whole = right.as_bytes() == body;
-        if !is_start || (complete && !is_whole) {
+        let is_prefix = expected.as_bytes().starts_with(body);
+        let is_equal = expected.as_bytes() == body;
+        if !is_prefix || (is_complete && !is_equal) {
             let got = String::from_utf8_lossy(body).into_owned();
             self.break_(Promise::OwnWholeAnswer, format!("{call} got {got:?}"));
         }
@@ -299,7 +301,10 @@
             self.ended,
             self.broken.len()
         )];
-        let broken = self.broken.iter().map(|(p, how)| format!("  {p:?}: {how}"));
+        let broken = self
+            .broken
+            .iter()
+            .map(|(p, description)| format!("  {p:?}: {description}"));
         lines.extend(broken);
         lines.join("\n")
     }
--- a/soak/src/set_backs.rs
+++ b/soak/src/set_backs.rs
@@ -31,10 +31,10 @@
 const STREAM: u128 = 0x7365_7420_6261_636b;
 
 /// Reverts the store repeatedly for the given time.
-pub async fn inject(world: &World, seed: u64, for_: Duration) {
+pub async fn inject(world: &World, seed: u64, duration: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), STREAM);
-    let until = Instant::now() + for_;
-    while Instant::now() < until {
+    let end = Instant::now() + duration;
+    while Instant::now() < end {
         let copy = world.store.backup();
         pause(&mut rng, COPY_AGE_MS).await;
         world.store.set_fault(StoreFault {
@@ -74,25 +74,25 @@
 async fn write_and_expect(world: &World) {
     world.write_config(&KEYS[..1]);
     let version = world.version().get();
-    let until = Instant::now() + IN_FORCE_WITHIN;
-    for (n, vm) in world.vms.iter().enumerate() {
-        if tokio::time::timeout_at(until, until_served(vm, n, version))
+    let deadline = Instant::now() + IN_FORCE_WITHIN;
+    for (vm_index, vm) in world.vms.iter().enumerate() {
+        if tokio::time::timeout_at(deadline, until_served(vm, vm_index, version))
             .await
             .is_err()
         {
-            let how = format!("version {version} is not in force at {}", vm.callers);
-            world.promises.break_(Promise::ConfigInForce, how);
+            let description = format!("version {version} is not in force at {}", vm.callers);
+            world.promises.break_(Promise::ConfigInForce, description);
         }
     }
 }
 
 /// Calls the route that only this version of the configuration has, until a call is served.
-async fn until_served(vm: &Vm, n: usize, version: u64) {
+async fn until_served(vm: &Vm, vm_index: usize, version: u64) {
     let kind = format!("only-{version}");
-    let mut tries = 0;
+    let mut attempt = 0;
     loop {
-        tries += 1;
-        let id = format!("{kind}-check-{n}-{tries}");
+        attempt += 1;
+        let id = format!("{kind}-check-{vm_index}-{attempt}");
         if let Some(mut caller) = Caller::connect(vm.callers).await
             && matches!(caller.call(&kind, &id, KEYS[0]).await, End::Answer(200, ..))
         {
@@ -111,12 +111,12 @@
 /// have been changed again since the revert.
 fn write_again(world: &World, lost: &Kv, copy: &Kv) {
     let value = |kv: &Kv, key: &String| kv.items.get(key).map(|i| i.value.clone());
-    let now = world.store.backup();
+    let current = world.store.backup();
     let keys = lost.items.keys().chain(copy.items.keys());
     for key in keys.filter(|key| !key.starts_with(OWN)) {
-        let is_newer = value(&now, key) != value(copy, key);
+        let has_changed = value(&current, key) != value(copy, key);
         match value(lost, key) {
-            _ if is_newer => {}
+            _ if has_changed => {}
             lost if lost == value(copy, key) => {}
             Some(lost) => {
                 world.store.put(key, &lost);
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -28,7 +28,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Mood {
     #[default]
-    Well,
+    /// Runs calls and responds.
+    Healthy,
     /// Refuses calls and reports them as not run.
     Full,
     /// Runs calls and responds with status 500.
@@ -74,9 +75,9 @@
             ending: Notify::new(),
             promises: Rc::clone(promises),
         });
-        let served = Rc::clone(&target);
+        let handler_target = Rc::clone(&target);
         let address = listen(move |req| {
-            let target = Rc::clone(&served);
+            let target = Rc::clone(&handler_target);
             async move { target.answer(req).await }
         });
         (target, address.await)
@@ -95,8 +96,8 @@
     }
 
     /// Returns whether its link has had no fault for at least this time.
-    pub fn link_is_sound(&self, for_: Duration) -> bool {
-        self.link.get().is_some_and(|link| link.is_sound(for_))
+    pub fn link_is_sound(&self, duration: Duration) -> bool {
+        self.link.get().is_some_and(|link| link.is_sound(duration))
     }
 
     /// Handles a request.
@@ -115,16 +116,16 @@
         }
         self.promises.on_arrival(&call, &self);
         let expected = text(&head.headers, "x-expect-instance");
-        let mood = match self.says.get() {
+        let behavior = match self.says.get() {
             Says::Backoff(_) => Mood::Full,
             _ => self.mood.get(),
         };
         let mut res = match () {
             () if expected != self.id => coded(421),
-            () if mood == Mood::Full => coded(503),
+            () if behavior == Mood::Full => coded(503),
             () => {
                 self.promises.on_run(&self.id, &call, &head.headers, &body);
-                self.run(&head.headers, &call, mood).await
+                self.run(&head.headers, &call, behavior).await
             }
         };
         let headers = res.headers_mut();
@@ -132,12 +133,12 @@
             headers.insert("x-attempt-id", id);
         }
         headers.insert("x-server-seal", "seal".parse().expect("a header value"));
-        if mood == Mood::Full {
+        if behavior == Mood::Full {
             headers.insert("x-not-run", "1".parse().expect("a header value"));
         }
         match self.says.get() {
             Says::Leaving => drop(headers.insert("server-leaving", 1.into())),
-            Says::Backoff(seconds) if mood == Mood::Full => {
+            Says::Backoff(seconds) if behavior == Mood::Full => {
                 headers.insert("retry-after", seconds.into());
             }
             _ => return res,
@@ -147,10 +148,10 @@
     }
 
     /// Runs a call and returns its response.
-    async fn run(&self, headers: &HeaderMap, call: &str, mood: Mood) -> Response<Body> {
+    async fn run(&self, headers: &HeaderMap, call: &str, behavior: Mood) -> Response<Body> {
         tokio::time::sleep(WORK).await;
         let is_stream = call.starts_with("stream");
-        match mood {
+        match behavior {
             Mood::Failing => coded(500),
             Mood::Hanging => std::future::pending().await,
             Mood::Cutting => Response::new(events(headers, call, LAST_EVENT / 2, true)),
@@ -172,23 +173,23 @@
 
 /// Returns a stream of events up to `last` that resumes after the caller's `last-event-id`.
 ///
-/// If `breaks` is set, it ends with a connection reset.
-fn events(headers: &HeaderMap, call: &str, last: u64, breaks: bool) -> Body {
+/// If `ends_with_reset` is set, it ends with a connection reset.
+fn events(headers: &HeaderMap, call: &str, last: u64, ends_with_reset: bool) -> Body {
     let first = text(headers, "last-event-id").parse().unwrap_or(0) + 1;
     let call = call.to_owned();
-    let pieces = stream::unfold(first, move |n| {
+    let frames = stream::unfold(first, move |n| {
         let call = call.clone();
         async move {
             tokio::time::sleep(WORK).await;
-            let piece = match n {
+            let frame = match n {
                 n if n <= last => Ok(Frame::data(Bytes::from(event(&call, n)))),
-                _ if breaks => Err(std::io::ErrorKind::ConnectionReset.into()),
+                _ if ends_with_reset => Err(std::io::ErrorKind::ConnectionReset.into()),
                 _ => return None,
             };
-            Some((piece, n + 1))
+            Some((frame, n + 1))
         }
     });
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(frames).boxed_unsync()
 }
 
 /// Returns a response with this status.
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -169,7 +169,7 @@
     pub async fn heal(&self) {
         self.store.set_fault(StoreFault::default());
         for (target, link) in &self.targets {
-            target.mood.set(crate::target::Mood::Well);
+            target.mood.set(crate::target::Mood::Healthy);
             withdrawals::fall_silent(self, target);
             link.set_fault(crate::link::Fault::None);
             self.write_entry(&target.id, "ready");
@@ -209,7 +209,7 @@
 /// Writes the settings file of a router, and returns the router without starting it.
 fn vm(
     plan: &Plan,
-    n: usize,
+    vm_index: usize,
     ports: [u16; 4],
     store_link: Rc<Link>,
     dir: &std::path::Path,
@@ -219,26 +219,26 @@
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let ip = |n: usize| Ipv4Addr::new(127, high.max(1), low, n as u8 + 1);
     let [front, ready, control, peers] = ports;
-    let at = |port: u16| SocketAddr::from((ip(n), port)).to_string();
+    let address = |port: u16| SocketAddr::from((ip(vm_index), port)).to_string();
     let seeds: Vec<String> = (0..plan.vms.min(3))
         .map(|i| format!("{}:{control}", ip(i)))
         .collect();
-    let settings: Value = json!({"node": format!("front-{n}"), "zone": "yard", "ipAddr": ip(n),
-        "listen": {"front": at(front), "ready": at(ready), "control": at(control)},
+    let settings: Value = json!({"node": format!("front-{vm_index}"), "zone": "yard", "ipAddr": ip(vm_index),
+        "listen": {"front": address(front), "ready": address(ready), "control": address(control)},
         "internalPorts": [peers, peers], "seeds": seeds,
         "limits": {"maxFds": 4_100, "linkMbps": 1_000.0, "cpuShare": 0.25},
         "bounds": {"revokeMs": 5_000, "capFactor": 2, "budgetRatio": 0.2, "budgetWindowS": 10,
             "budgetExtra": 54, "graceS": 8},
         "platform": {"address": store_link.address.to_string()}});
-    let path = dir.join(format!("front-{n}.json"));
-    std::fs::write(&path, settings.to_string()).expect("a writable settings file");
+    let settings_path = dir.join(format!("front-{vm_index}.json"));
+    std::fs::write(&settings_path, settings.to_string()).expect("a writable settings file");
     Rc::new(Vm {
-        n,
+        n: vm_index,
         promises: Rc::clone(promises),
-        callers: SocketAddr::from((ip(n), front)),
-        ready: SocketAddr::from((ip(n), ready)),
-        log: dir.join(format!("front-{n}.log")),
-        settings: path,
+        callers: SocketAddr::from((ip(vm_index), front)),
+        ready: SocketAddr::from((ip(vm_index), ready)),
+        log: dir.join(format!("front-{vm_index}.log")),
+        settings: settings_path,
         program: plan.program.clone(),
         child: RefCell::default(),
         stopping: Cell::default(),
@@ -306,12 +306,12 @@
         let Some(mut child) = self.child.borrow_mut().take() else {
             return true;
         };
-        let ended = tokio::time::timeout(PATIENCE, child.wait()).await.is_ok();
-        if !ended {
+        let has_exited = tokio::time::timeout(PATIENCE, child.wait()).await.is_ok();
+        if !has_exited {
             // An error is ignored: the drop right after this kills the process as well.
             let _ = child.start_kill();
         }
-        ended
+        has_exited
     }
 
     /// Starts the process again if it has exited or is about to, after it has exited.
@@ -325,8 +325,8 @@
     /// Waits until the router's readiness endpoint responds with status 200.
     async fn until_ready(&self) {
         loop {
-            let asked = Caller::connect(self.ready).await;
-            if let Some(mut caller) = asked
+            let caller = Caller::connect(self.ready).await;
+            if let Some(mut caller) = caller
                 && caller.is_ok().await
             {
                 return;
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -37,30 +37,30 @@
 const STREAM: u128 = 0x7769_7468_6472_6177;
 
 /// Makes random targets withdraw for the given time.
-pub async fn inject(world: &World, seed: u64, for_: Duration) {
+pub async fn inject(world: &World, seed: u64, duration: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), STREAM);
-    let until = Instant::now() + for_;
-    let mut saying: Vec<(Instant, usize)> = Vec::new();
-    while Instant::now() < until {
+    let end = Instant::now() + duration;
+    let mut active: Vec<(Instant, usize)> = Vec::new();
+    while Instant::now() < end {
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         tokio::time::sleep(pause).await;
-        saying.retain(|(end, n)| {
-            let goes_on = Instant::now() < *end;
-            if !goes_on {
-                fall_silent(world, &world.targets[*n].0);
+        active.retain(|(end, target_index)| {
+            let is_active = Instant::now() < *end;
+            if !is_active {
+                fall_silent(world, &world.targets[*target_index].0);
             }
-            goes_on
+            is_active
         });
-        let n = rng.random_range(0..world.targets.len());
-        let time = Duration::from_millis(rng.random_range(SAYS_FOR_MS));
-        let (leaves, seconds) = (rng.random_bool(0.5), rng.random_range(BACKOFF_S));
+        let target_index = rng.random_range(0..world.targets.len());
+        let announced_for = Duration::from_millis(rng.random_range(SAYS_FOR_MS));
+        let (is_leaving, backoff_s) = (rng.random_bool(0.5), rng.random_range(BACKOFF_S));
         let in_entry = rng.random_bool(0.3);
-        let target = &world.targets[n].0;
+        let target = &world.targets[target_index].0;
         if target.says.get() != Says::Nothing {
             continue;
         }
-        if !leaves {
-            target.says.set(Says::Backoff(seconds));
+        if !is_leaving {
+            target.says.set(Says::Backoff(backoff_s));
         } else if target.born.get().elapsed() > KNOWN_AFTER
             && world.promises.is_settled(KNOWN_AFTER)
         {
@@ -69,7 +69,7 @@
                 world.write_entry(&target.id, "draining");
             }
         }
-        saying.push((Instant::now() + time, n));
+        active.push((Instant::now() + announced_for, target_index));
     }
 }
 
@@ -147,27 +147,27 @@
     /// Returns a description of the violation if the call should not have been sent there.
     pub fn on_arrival(&self, call: &str, target: &Target) -> Option<String> {
         let gateway = gateway(call)?;
-        let life = (gateway, target.life());
-        let leaving = self.leaving.borrow().get(&life).copied();
+        let instance = (gateway, target.life());
+        let leaving = self.leaving.borrow().get(&instance).copied();
         let sent = self.sent.borrow().get(call).copied();
         if let Some((since, sent)) = leaving.zip(sent)
             && sent > since + LEAVES_WITHIN
         {
-            return Some(format!("{call} at {:?}, which is leaving", life.1));
+            return Some(format!("{call} at {:?}, which is leaving", instance.1));
         }
-        let is_cut = !target.link_is_sound(LINK_SOUND);
+        let is_link_faulty = !target.link_is_sound(LINK_SOUND);
         let now = Instant::now();
-        let mut asked = self.asked.borrow_mut();
-        let times = asked.get_mut(&life)?;
-        times.retain(|a| now < a.until && !is_cut);
-        for time in times.iter_mut().filter(|a| now > a.at + HEARD_WITHIN) {
-            time.arrivals += 1;
+        let mut all_backoffs = self.asked.borrow_mut();
+        let backoffs = all_backoffs.get_mut(&instance)?;
+        backoffs.retain(|b| now < b.until && !is_link_faulty);
+        for backoff in backoffs.iter_mut().filter(|b| now > b.at + HEARD_WITHIN) {
+            backoff.arrivals += 1;
         }
-        let most = times.iter().map(|a| a.arrivals).max()?;
-        (most > ARRIVALS).then(|| {
+        let max_arrivals = backoffs.iter().map(|b| b.arrivals).max()?;
+        (max_arrivals > ARRIVALS).then(|| {
             format!(
-                "{call}, one of {most} at {:?}, which asked for a backoff",
-                life.1
+                "{call}, one of {max_arrivals} at {:?}, which asked for a backoff",
+                instance.1
             )
         })
     }
@@ -182,15 +182,15 @@
                 answered.insert(call.to_owned(), target.life());
             }
             Says::Backoff(seconds) if target.link_is_sound(LINK_SOUND) => {
-                let at = Instant::now();
-                let time = Asked {
-                    at,
-                    until: at + Duration::from_secs(seconds),
+                let now = Instant::now();
+                let backoff = Asked {
+                    at: now,
+                    until: now + Duration::from_secs(seconds),
                     arrivals: 0,
                 };
-                let mut asked = self.asked.borrow_mut();
-                let times = asked.entry((gateway, target.life())).or_default();
-                times.push(time);
+                let mut all_backoffs = self.asked.borrow_mut();
+                let backoffs = all_backoffs.entry((gateway, target.life())).or_default();
+                backoffs.push(backoff);
             }
             Says::Backoff(_) => {}
         }
@@ -199,10 +199,12 @@
     /// Records that a caller received a target's response to a call that was sent to no other target.
     pub fn on_passed_on(&self, call: &str) {
         let answered = self.answered.borrow_mut().remove(call);
-        let Some((gateway, life)) = gateway(call).zip(answered) else {
+        let Some((gateway, instance)) = gateway(call).zip(answered) else {
             return;
         };
         let mut leaving = self.leaving.borrow_mut();
-        leaving.entry((gateway, life)).or_insert_with(Instant::now);
+        leaving
+            .entry((gateway, instance))
+            .or_insert_with(Instant::now);
     }
 }
