--- a/soak/src/budget.rs
+++ b/soak/src/budget.rs
@@ -5,10 +5,10 @@
 use tokio::time::Instant;
 
 /// Number of retries that are allowed for each call of a window.
-const RATIO: f64 = 0.2;
+const RETRIES_PER_CALL: f64 = 0.2;
 
 /// Number of retries that are allowed in a window in addition to those per call.
-const EXTRA: f64 = 54.0;
+const EXTRA_RETRIES: f64 = 54.0;
 
 /// Length of the window in which calls and retries are counted.
 const WINDOW: Duration = Duration::from_secs(10);
@@ -18,7 +18,7 @@
 /// A call counts when its caller sends it, whether it arrives at a target or not. Each arrival of a call at a
 /// target after the first one counts as a retry.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     /// When recent calls were counted.
     calls: RefCell<VecDeque<Instant>>,
     /// When recent retries arrived at targets.
@@ -33,7 +33,7 @@
     !call.starts_with("only")
 }
 
-impl Budget {
+impl RetryBudget {
     /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str) {
         if is_on_lasting_route(call) {
@@ -56,7 +56,7 @@
         }
         forget_before(&mut self.calls.borrow_mut(), now, WINDOW * 2);
         forget_before(&mut self.repeats.borrow_mut(), now, WINDOW);
-        let allowed = RATIO * self.most_calls(now) as f64 + EXTRA;
+        let allowed = RETRIES_PER_CALL * self.most_calls(now) as f64 + EXTRA_RETRIES;
         let retries = self.repeats.borrow().len();
         let is_within_budget = retries as f64 <= allowed;
         (!is_within_budget).then(|| format!("{retries} retries where {allowed:.0} are allowed"))
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -16,21 +16,21 @@
 use tokio::{net::TcpStream, task::JoinHandle, time::Instant};
 
 use crate::{
-    promises::{End, Promise, Promises},
-    vm::{KEYS, PATIENCE, Vm, World},
+    promises::{CallOutcome, Promise, PromiseChecker},
+    vm::{API_KEYS, STARTUP_TIMEOUT, TestEnv, Vm},
 };
 
 /// Number of callers of each router.
-const CALLERS: usize = 3;
+const CALLERS_PER_VM: usize = 3;
 
 /// Upper bound of the pause between two calls of one caller, in milliseconds.
-const PAUSE_MS: u64 = 30;
+const MAX_PAUSE_MS: u64 = 30;
 
 /// Deadline that a caller sends with a call, and its timeout for the response head and for each body frame.
-const DEADLINE: Duration = Duration::from_secs(3);
+const CALL_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Number of calls that must be served after the faults before the fleet counts as recovered.
-const SERVED_AGAIN: u64 = 100;
+const MIN_SERVED_CALLS: u64 = 100;
 
 /// A caller's connection to a router.
 pub struct Caller {
@@ -52,56 +52,59 @@
     pub async fn is_ok(&mut self) -> bool {
         let req = Request::get("/").header("host", "x").body(Full::default());
         let Ok(req) = req else { return false };
-        let response = tokio::time::timeout(DEADLINE, self.sender.send_request(req)).await;
+        let response = tokio::time::timeout(CALL_DEADLINE, self.sender.send_request(req)).await;
         matches!(response, Ok(Ok(res)) if res.status() == 200)
     }
 
     /// Sends a call whose body is its id, and returns its outcome.
-    pub async fn call(&mut self, kind: &str, id: &str, key: &str) -> End {
+    pub async fn call(&mut self, kind: &str, id: &str, key: &str) -> CallOutcome {
         self.send(kind, id, key, id).await
     }
 
     /// Sends a call with the given body, and returns its outcome.
-    pub async fn send(&mut self, kind: &str, id: &str, key: &str, body: &str) -> End {
+    pub async fn send(&mut self, kind: &str, id: &str, key: &str, body: &str) -> CallOutcome {
         let req = Request::post(format!("/{kind}/x"))
             .header("host", "desk.example")
             .header("x-attempt-id", id)
-            .header("x-deadline-ms", DEADLINE.as_millis().to_string())
+            .header("x-deadline-ms", CALL_DEADLINE.as_millis().to_string())
             .header("authorization", format!("Token {key}"))
             .body(Full::from(body.to_owned()));
-        let Ok(req) = req else { return End::Nothing };
-        let response = tokio::time::timeout(DEADLINE, self.sender.send_request(req)).await;
+        let Ok(req) = req else {
+            return CallOutcome::NoResponse;
+        };
+        let response = tokio::time::timeout(CALL_DEADLINE, self.sender.send_request(req)).await;
         let Ok(Ok(res)) = response else {
-            return End::Nothing;
+            return CallOutcome::NoResponse;
         };
         let status = res.status().as_u16();
         let mut incoming = res.into_body();
         let mut body = Vec::new();
         loop {
-            match tokio::time::timeout(DEADLINE, incoming.frame()).await {
+            match tokio::time::timeout(CALL_DEADLINE, incoming.frame()).await {
                 Ok(Some(Ok(frame))) => body.extend_from_slice(frame.data_ref().map_or(&[], |d| d)),
-                Ok(None) => return End::Answer(status, body, true),
-                _ => return End::Answer(status, body, false),
+                Ok(None) => return CallOutcome::Response(status, body, true),
+                _ => return CallOutcome::Response(status, body, false),
             }
         }
     }
 }
 
 /// The running callers.
-pub struct Calling {
+pub struct CallerTasks {
     tasks: Vec<JoinHandle<()>>,
     /// Whether the callers should stop after their current calls.
     over: Rc<Cell<bool>>,
-    promises: Rc<Promises>,
+    promises: Rc<PromiseChecker>,
 }
 
 /// Starts the callers of each router.
-pub fn start(world: &World, seed: u64) -> Calling {
+pub fn start(world: &TestEnv, seed: u64) -> CallerTasks {
     let stop = Rc::new(Cell::new(false));
     let mut tasks = Vec::new();
     for (vm_index, vm) in world.vms.iter().enumerate() {
-        for caller_index in 0..CALLERS {
-            let rng = Pcg64::seed_from_u64(seed ^ (vm_index * CALLERS + caller_index + 1) as u64);
+        for caller_index in 0..CALLERS_PER_VM {
+            let rng =
+                Pcg64::seed_from_u64(seed ^ (vm_index * CALLERS_PER_VM + caller_index + 1) as u64);
             let name = format!("{vm_index}-{caller_index}");
             let task = go_on_calling(
                 Rc::clone(vm),
@@ -114,7 +117,7 @@
             tasks.push(tokio::task::spawn_local(task));
         }
     }
-    Calling {
+    CallerTasks {
         tasks,
         over: stop,
         promises: Rc::clone(&world.promises),
@@ -124,7 +127,7 @@
 /// Sends random calls to one router until the callers are stopped.
 async fn go_on_calling(
     vm: Rc<Vm>,
-    promises: Rc<Promises>,
+    promises: Rc<PromiseChecker>,
     stop: Rc<Cell<bool>>,
     version: Rc<Cell<u64>>,
     mut rng: Pcg64,
@@ -134,7 +137,7 @@
     let mut n = 0_u64;
     while !stop.get() {
         n += 1;
-        tokio::time::sleep(Duration::from_millis(rng.random_range(0..PAUSE_MS))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS))).await;
         // Each configuration version has its own route, which shows which version is in force.
         let requested_version = version.get().saturating_sub(rng.random_range(0..3));
         let version_kind = format!("only-{requested_version}");
@@ -153,11 +156,11 @@
         let sent_at = Instant::now();
         promises.on_sent(&id, sent_at);
         let outcome = caller
-            .call(kind, &id, KEYS[usize::from(uses_second_key)])
+            .call(kind, &id, API_KEYS[usize::from(uses_second_key)])
             .await;
         promises.on_end(&id, &outcome, sent_at, uses_second_key);
         if kind == version_kind
-            && matches!(outcome, End::Answer(200, ..))
+            && matches!(outcome, CallOutcome::Response(200, ..))
             && vm.seen_version.get() >= served_version
         {
             vm.seen_version
@@ -169,25 +172,25 @@
                 );
             }
         }
-        let is_truncated = matches!(outcome, End::Answer(200, _, false));
+        let is_truncated = matches!(outcome, CallOutcome::Response(200, _, false));
         if is_truncated && stopping && !vm.harmed.get() && !vm.runs() {
             promises.break_(Promise::StopCutsNothing, id);
         }
-        if outcome != End::Nothing {
+        if outcome != CallOutcome::NoResponse {
             idle_caller = Some(caller);
         }
     }
 }
 
-impl Calling {
+impl CallerTasks {
     /// Waits until enough calls are served after the faults, and records a violation if that takes too long.
     pub async fn until_served_again(&self) {
         let served_before = self.promises.served();
-        let deadline = Instant::now() + PATIENCE;
-        while self.promises.served() < served_before + SERVED_AGAIN {
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
+        while self.promises.served() < served_before + MIN_SERVED_CALLS {
             if Instant::now() > deadline {
                 let served = self.promises.served() - served_before;
-                let description = format!("only {served} calls served in {PATIENCE:?}");
+                let description = format!("only {served} calls served in {STARTUP_TIMEOUT:?}");
                 self.promises.break_(Promise::Recovery, description);
                 return;
             }
--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -10,17 +10,17 @@
 
 use crate::{
     callers::Caller,
-    vm::{KEYS, World},
+    vm::{API_KEYS, TestEnv},
 };
 
 /// Body by which targets recognize the crashing request.
-pub const BODY: &str = "the lot that nobody can describe";
+pub const CRASH_BODY: &str = "the lot that nobody can describe";
 
 /// Range of the pause between two sends of the request, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 100..600;
 
 /// Time between the crash of a target and its restart.
-const AWAY: Duration = Duration::from_millis(1_500);
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Time for which the caller of the request waits for a response.
 const PATIENCE: Duration = Duration::from_secs(2);
@@ -29,13 +29,13 @@
 const STREAM: u64 = 0x6372_6173_6865_7300;
 
 /// Tasks that send the crashing request and restart crashed targets.
-pub struct Crashing {
+pub struct CrashTasks {
     caller: JoinHandle<()>,
     restarts: Vec<JoinHandle<()>>,
 }
 
 /// Starts to send the request repeatedly, also after the other faults have ended.
-pub fn start(world: &Rc<World>, seed: u64) -> Crashing {
+pub fn start(world: &Rc<TestEnv>, seed: u64) -> CrashTasks {
     let restarts = (0..world.targets.len()).map(|n| {
         let world = Rc::clone(world);
         tokio::task::spawn_local(async move { restart(&world, n).await })
@@ -53,29 +53,29 @@
             if let Some(mut caller) = Caller::connect(vm.callers).await {
                 // The outcome is ignored: only what targets observe is checked.
                 let id = format!("crash-{n}");
-                let call = caller.send("safe", &id, KEYS[0], BODY);
+                let call = caller.send("safe", &id, API_KEYS[0], CRASH_BODY);
                 let _ = tokio::time::timeout(PATIENCE, call).await;
             }
         }
     });
-    Crashing { caller, restarts }
+    CrashTasks { caller, restarts }
 }
 
 /// Closes a target's link whenever the request crashes the target, and restarts it under the same name.
-async fn restart(world: &World, n: usize) {
+async fn restart(world: &TestEnv, n: usize) {
     let (target, link) = &world.targets[n];
     loop {
         target.ending.notified().await;
         link.end();
-        tokio::time::sleep(AWAY).await;
+        tokio::time::sleep(RESTART_DELAY).await;
         while link.begin_again().await.is_err() {
-            tokio::time::sleep(AWAY / 10).await;
+            tokio::time::sleep(RESTART_DELAY / 10).await;
         }
         world.on_restart(&target.id);
     }
 }
 
-impl Crashing {
+impl CrashTasks {
     /// Stops sending the request and restarting targets.
     pub fn stop(self) {
         self.caller.abort();
@@ -85,7 +85,7 @@
 
 /// What targets observed of the crashing request.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct CrashCounts {
     /// Number of targets that crashed while they ran it.
     pub ended: Cell<u32>,
     /// Number of times that it reached a target after the time by which all routers have to know of the third
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 
 use crate::{
-    link::Fault,
+    link::LinkFault,
     store::StoreFault,
-    target::Mood,
-    vm::{KEYS, World},
+    target::TargetBehavior,
+    vm::{API_KEYS, TestEnv},
 };
 
 /// Range of the pause between two faults, in milliseconds.
@@ -21,7 +21,7 @@
 const DELAY_MS: std::ops::Range<u64> = 20..400;
 
 /// Injects faults for the given time. Faults may still be in force when it returns.
-pub async fn inject(world: &World, rng: &mut Pcg64, duration: Duration) {
+pub async fn inject(world: &TestEnv, rng: &mut Pcg64, duration: Duration) {
     let end = Instant::now() + duration;
     let may_revoke = rng.random_bool(0.5);
     let mut revoked = false;
@@ -40,28 +40,28 @@
             11 => change_entry(world, rng),
             12 if may_revoke && !revoked => {
                 revoked = true;
-                world.write_config(&KEYS[..1]);
+                world.write_config(&API_KEYS[..1]);
                 world.promises.on_revoked();
             }
-            _ if revoked => world.write_config(&KEYS[..1]),
-            _ => world.write_config(&KEYS),
+            _ if revoked => world.write_config(&API_KEYS[..1]),
+            _ => world.write_config(&API_KEYS),
         }
         world.promises.on_settled(is_settled(world));
     }
 }
 
 /// Returns whether all links to the store and the store itself are without fault and no router is paused.
-fn is_settled(world: &World) -> bool {
+fn is_settled(world: &TestEnv) -> bool {
     let is_store_reachable = world
         .vms
         .iter()
-        .all(|vm| vm.store_link.fault() == Fault::None);
+        .all(|vm| vm.store_link.fault() == LinkFault::None);
     let is_store_healthy = world.store.fault() == StoreFault::default();
     is_store_reachable && is_store_healthy && !world.vms.iter().any(|vm| vm.paused.get())
 }
 
 /// Starts each router that is not running, then kills a random one.
-async fn kill(world: &World, rng: &mut Pcg64) {
+async fn kill(world: &TestEnv, rng: &mut Pcg64) {
     for vm in &world.vms {
         if !vm.runs() {
             vm.ensure_runs().await;
@@ -75,7 +75,7 @@
 }
 
 /// Asks a random router to shut down gracefully. A later fault starts it again.
-async fn stop(world: &World, rng: &mut Pcg64) {
+async fn stop(world: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = world.vms.choose(rng)
         && vm.runs()
     {
@@ -86,7 +86,7 @@
     }
 }
 
-fn pause_vm(world: &World, rng: &mut Pcg64) {
+fn pause_vm(world: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = world.vms.choose(rng) {
         vm.harmed.set(true);
         vm.paused.set(true);
@@ -94,24 +94,24 @@
     }
 }
 
-fn resume_vms(world: &World) {
+fn resume_vms(world: &TestEnv) {
     world.vms.iter().for_each(|vm| vm.resume());
 }
 
-fn reload(world: &World, rng: &mut Pcg64) {
+fn reload(world: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = world.vms.choose(rng) {
         vm.signal(Signal::HUP);
     }
 }
 
-fn change_target(world: &World, rng: &mut Pcg64) {
+fn change_target(world: &TestEnv, rng: &mut Pcg64) {
     let behaviors = [
-        Mood::Healthy,
-        Mood::Healthy,
-        Mood::Full,
-        Mood::Failing,
-        Mood::Cutting,
-        Mood::Hanging,
+        TargetBehavior::Healthy,
+        TargetBehavior::Healthy,
+        TargetBehavior::Refusing,
+        TargetBehavior::Failing,
+        TargetBehavior::Truncating,
+        TargetBehavior::Hanging,
     ];
     if let (Some((target, _)), Some(behavior)) = (world.targets.choose(rng), behaviors.choose(rng))
     {
@@ -119,7 +119,7 @@
     }
 }
 
-fn change_link(world: &World, rng: &mut Pcg64) {
+fn change_link(world: &TestEnv, rng: &mut Pcg64) {
     let to_targets = world.targets.iter().map(|(_, link)| link);
     let to_store = world.vms.iter().map(|vm| &vm.store_link);
     let links: Vec<_> = to_targets.chain(to_store).collect();
@@ -129,22 +129,22 @@
 }
 
 /// Returns a random fault of a link.
-fn fault(rng: &mut Pcg64) -> Fault {
+fn fault(rng: &mut Pcg64) -> LinkFault {
     let delay = Duration::from_millis(rng.random_range(DELAY_MS));
     let faults = [
-        Fault::None,
-        Fault::None,
-        Fault::Delay(delay),
-        Fault::Reset,
-        Fault::SilentThere,
-        Fault::SilentBack,
+        LinkFault::None,
+        LinkFault::None,
+        LinkFault::Delay(delay),
+        LinkFault::Reset,
+        LinkFault::StallRequests,
+        LinkFault::StallResponses,
     ];
     faults.choose(rng).copied().unwrap_or_default()
 }
 
 /// Makes the store drop its history, reject all calls, break connections, respond slowly or lose the
 /// responses to writes, or ends its fault.
-fn change_store(world: &World, rng: &mut Pcg64) {
+fn change_store(world: &TestEnv, rng: &mut Pcg64) {
     let healthy = StoreFault::default();
     let fault = match rng.random_range(0..8) {
         0 => return world.store.compact(),
@@ -170,7 +170,7 @@
 }
 
 /// Marks the first target as draining, or as ready again.
-fn change_entry(world: &World, rng: &mut Pcg64) {
+fn change_entry(world: &TestEnv, rng: &mut Pcg64) {
     let state = ["ready", "draining"][rng.random_range(0..2)];
     world.write_entry(&world.targets[0].0.id, state);
 }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -18,7 +18,7 @@
 
 /// A fault that a link injects into its connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Fault {
+pub enum LinkFault {
     #[default]
     None,
     /// Delays the bytes of each read by this time.
@@ -26,16 +26,16 @@
     /// Closes open connections and resets new ones.
     Reset,
     /// Passes no bytes on to the server.
-    SilentThere,
+    StallRequests,
     /// Passes no bytes back to the client.
-    SilentBack,
+    StallResponses,
 }
 
 /// Proxy in front of one server address.
 pub struct Link {
     /// Address at which the link accepts connections.
     pub address: SocketAddr,
-    fault: Cell<Fault>,
+    fault: Cell<LinkFault>,
     /// When the last fault ended or was replaced by another one.
     harmed: Cell<Option<Instant>>,
     /// Address of the server behind the link.
@@ -47,10 +47,10 @@
 }
 
 /// Interval at which a connection checks whether a fault has begun or ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Maximum number of bytes that one read passes on.
-const CHUNK: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 impl Link {
     /// Starts a proxy for the server `upstream` on a free loopback port.
@@ -83,29 +83,29 @@
         Ok(())
     }
 
-    /// Sets the fault that is in force; `Fault::None` ends it.
-    pub fn set_fault(&self, fault: Fault) {
-        if self.fault.replace(fault) != Fault::None {
+    /// Sets the fault that is in force; `LinkFault::None` ends it.
+    pub fn set_fault(&self, fault: LinkFault) {
+        if self.fault.replace(fault) != LinkFault::None {
             self.harmed.set(Some(Instant::now()));
         }
     }
 
     /// Returns the fault that is in force.
-    pub fn fault(&self) -> Fault {
+    pub fn fault(&self) -> LinkFault {
         self.fault.get()
     }
 
     /// Returns whether the link has had no fault for at least this time.
     pub fn is_sound(&self, duration: Duration) -> bool {
         let had_recent_fault = self.harmed.get().is_some_and(|at| at.elapsed() < duration);
-        self.fault.get() == Fault::None && !had_recent_fault
+        self.fault.get() == LinkFault::None && !had_recent_fault
     }
 
     fn accept(self: &Rc<Self>, listener: TcpListener) {
         let link = Rc::clone(self);
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((client, _)) = listener.accept().await {
-                if link.fault.get() == Fault::Reset {
+                if link.fault.get() == LinkFault::Reset {
                     reset(&client);
                     continue;
                 }
@@ -133,31 +133,31 @@
     let (client_read, client_write) = client.into_split();
     let (upstream_read, upstream_write) = upstream.into_split();
     tokio::select! {
-        () = pump(&link, client_read, upstream_write, Fault::SilentThere) => {}
-        () = pump(&link, upstream_read, client_write, Fault::SilentBack) => {}
+        () = pump(&link, client_read, upstream_write, LinkFault::StallRequests) => {}
+        () = pump(&link, upstream_read, client_write, LinkFault::StallResponses) => {}
         () = until_reset(&link) => {}
         () = link.ended.notified() => {}
     }
 }
 
 async fn until_reset(link: &Link) {
-    while link.fault.get() != Fault::Reset {
-        tokio::time::sleep(LOOK_EVERY).await;
+    while link.fault.get() != LinkFault::Reset {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Passes bytes in one direction until either end closes. Passes none while the fault `stall` is in force.
-async fn pump(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, stall: Fault) {
-    let mut buf = vec![0; CHUNK];
+async fn pump(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, stall: LinkFault) {
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     loop {
         let n = match from.read(&mut buf).await {
             Ok(n) if n > 0 => n,
             _ => return,
         };
         while link.fault.get() == stall {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        if let Fault::Delay(delay) = link.fault.get() {
+        if let LinkFault::Delay(delay) = link.fault.get() {
             tokio::time::sleep(delay).await;
         }
         if to.write_all(&buf[..n]).await.is_err() {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -58,7 +58,7 @@
 
 /// Options of a run.
 #[derive(Debug, Clone)]
-struct Plan {
+struct RunOptions {
     seed: u64,
     faults_for: Duration,
     vms: usize,
@@ -70,7 +70,7 @@
 }
 
 /// Maximum number of routers. Each takes about 10 MB of memory and one of the 250 addresses of a network.
-const MOST_VMS: usize = 200;
+const MAX_VMS: usize = 200;
 
 fn main() -> ExitCode {
     let flags = match flags::Soak::from_env() {
@@ -79,10 +79,10 @@
     };
     let default_program = std::env::current_exe().ok();
     let default_program = default_program.map(|p| p.with_file_name("scalefordd"));
-    let plan = Plan {
+    let plan = RunOptions {
         seed: flags.seed.unwrap_or(1),
         faults_for: Duration::from_secs(flags.seconds.unwrap_or(10)),
-        vms: flags.vms.unwrap_or(4).clamp(1, MOST_VMS),
+        vms: flags.vms.unwrap_or(4).clamp(1, MAX_VMS),
         entries: flags.entries,
         crashes: flags.crashes,
         withdrawals: flags.withdrawals,
@@ -115,11 +115,11 @@
 
 /// Time for which the request that crashes targets is still sent after the faults have ended. It is longer
 /// than the time within which routers have to know about the crashes.
-const CRASHES_ON: Duration = Duration::from_secs(6);
+const CRASHES_AFTER_FAULTS: Duration = Duration::from_secs(6);
 
-async fn run(plan: &Plan) -> promises::Verdict {
+async fn run(plan: &RunOptions) -> promises::Verdict {
     let mut rng = Pcg64::seed_from_u64(plan.seed);
-    let world = Rc::new(vm::World::start(plan).await);
+    let world = Rc::new(vm::TestEnv::start(plan).await);
     let promises = Rc::clone(&world.promises);
     world.until_ready().await;
     let caller_tasks = callers::start(&world, plan.seed);
@@ -148,7 +148,7 @@
     }
     if let Some(crash_tasks) = crash_tasks {
         promises.on_settled(true);
-        tokio::time::sleep(CRASHES_ON).await;
+        tokio::time::sleep(CRASHES_AFTER_FAULTS).await;
         crash_tasks.stop();
     }
     caller_tasks.stop().await;
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    Plan,
-    budget::Budget,
+    RunOptions,
+    budget::RetryBudget,
     crashes,
     target::{LAST_EVENT, Target, answer_to, event},
     withdrawals,
@@ -19,10 +19,10 @@
 
 /// Time for which a target may still get calls after its entry says that it is leaving: the two seconds that
 /// the rule allows, and one second because the machine may be busy.
-const LEAVES_WITHIN: Duration = Duration::from_secs(3);
+const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
 /// Time for which a key may still work after it was revoked.
-const REVOKED_WITHIN: Duration = Duration::from_secs(5);
+const REVOCATION_GRACE: Duration = Duration::from_secs(5);
 
 /// A guarantee that a run checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -57,21 +57,21 @@
 }
 
 /// Number of targets that may crash under one request before routers have to quarantine it.
-const ENDED: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 
 /// Time within which routers have to know of a crash.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const CRASH_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Number of times that the request may still reach a target after that time.
-const SENT_LATER: u32 = 3;
+const MAX_LATE_ARRIVALS: u32 = 3;
 
 /// Outcome of a call for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// A response: its status, its body, and whether the body is complete.
-    Answer(u16, Vec<u8>, bool),
+    Response(u16, Vec<u8>, bool),
     /// No response.
-    Nothing,
+    NoResponse,
 }
 
 #[derive(Debug, Default)]
@@ -86,7 +86,7 @@
 
 /// Records all calls and checks the guarantees.
 #[derive(Default)]
-pub struct Promises {
+pub struct PromiseChecker {
     /// All calls by id.
     calls: RefCell<HashMap<String, Call>>,
     /// Violations, each with a description.
@@ -101,12 +101,12 @@
     asked: Cell<u64>,
     /// Number of calls that got status 200.
     served: Cell<u64>,
-    budget: Budget,
-    crashes: crashes::Seen,
-    pub withdrawals: withdrawals::Book,
+    budget: RetryBudget,
+    crashes: crashes::CrashCounts,
+    pub withdrawals: withdrawals::WithdrawalChecker,
 }
 
-impl Promises {
+impl PromiseChecker {
     /// Records a violation of a guarantee.
     pub fn break_(&self, promise: Promise, description: String) {
         self.broken.borrow_mut().push((promise, description));
@@ -147,12 +147,12 @@
     pub fn on_crash(&self) {
         let counts = &self.crashes;
         counts.ended.set(counts.ended.get() + 1);
-        let can_know = counts.ended.get() > ENDED && self.is_settled(KNOWN_WITHIN);
+        let can_know = counts.ended.get() > MAX_CRASHES && self.is_settled(CRASH_PROPAGATION_TIME);
         if !can_know {
             return;
         }
         counts.late.set(counts.late.get() + 1);
-        if counts.late.get() > SENT_LATER {
+        if counts.late.get() > MAX_LATE_ARRIVALS {
             let description = format!(
                 "{} targets crashed, {} after routers had to know",
                 counts.ended.get(),
@@ -201,8 +201,8 @@
             self.break_(Promise::Unchanged, format!("{call} at {target}"));
         }
         let since = self.leaving.borrow().get(target).copied();
-        let is_overdue = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() > LEAVES_WITHIN);
-        if is_overdue(since) && self.is_settled(LEAVES_WITHIN) {
+        let is_overdue = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() > LEAVING_GRACE);
+        if is_overdue(since) && self.is_settled(LEAVING_GRACE) {
             self.break_(Promise::LeavingGetsNothing, format!("{call} at {target}"));
         }
     }
@@ -210,15 +210,21 @@
     /// Records the outcome of a call.
     ///
     /// `sent_at` is when it was sent, `uses_second_key` whether it was sent with the second key.
-    pub fn on_end(&self, call: &str, outcome: &End, sent_at: Instant, uses_second_key: bool) {
+    pub fn on_end(
+        &self,
+        call: &str,
+        outcome: &CallOutcome,
+        sent_at: Instant,
+        uses_second_key: bool,
+    ) {
         self.asked.set(self.asked.get() + 1);
         let arrivals = self.calls.borrow().get(call).map_or(0, |c| c.arrivals);
-        if arrivals == 1 && matches!(outcome, End::Answer(200 | 500, ..)) {
+        if arrivals == 1 && matches!(outcome, CallOutcome::Response(200 | 500, ..)) {
             self.withdrawals.on_passed_on(call);
         }
         let (status, body, complete) = match outcome {
-            End::Answer(status, body, complete) => (*status, body.as_slice(), *complete),
-            End::Nothing => return,
+            CallOutcome::Response(status, body, complete) => (*status, body.as_slice(), *complete),
+            CallOutcome::NoResponse => return,
         };
         let ran = self.calls.borrow().get(call).map_or(0, |c| c.runs) > 0;
         match status {
@@ -235,7 +241,7 @@
             _ => {}
         }
         let revoked = self.revoked_at.get();
-        let is_too_late = revoked.is_some_and(|at| sent_at > at + REVOKED_WITHIN);
+        let is_too_late = revoked.is_some_and(|at| sent_at > at + REVOCATION_GRACE);
         if uses_second_key && is_too_late && ran {
             self.break_(Promise::RevokedKeys, format!("{call} ran after revocation"));
         }
@@ -292,8 +298,8 @@
     }
 
     /// Formats the verdict as text for people.
-    pub fn text(&self, plan: &Plan) -> String {
-        let Plan { seed, vms, .. } = plan;
+    pub fn text(&self, plan: &RunOptions) -> String {
+        let RunOptions { seed, vms, .. } = plan;
         let mut lines = vec![format!(
             "seed {seed}, {vms} vms: {} calls, {} served, {} targets crashed, {} promises broken",
             self.asked,
@@ -310,7 +316,7 @@
     }
 
     /// Formats the verdict as JSON for programs.
-    pub fn json(&self, plan: &Plan) -> String {
+    pub fn json(&self, plan: &RunOptions) -> String {
         let broken: Vec<String> = self
             .broken
             .iter()
--- a/soak/src/set_backs.rs
+++ b/soak/src/set_backs.rs
@@ -10,29 +10,29 @@
 
 use crate::{
     callers::Caller,
-    promises::{End, Promise},
+    promises::{CallOutcome, Promise},
     store::{Kv, StoreFault},
-    vm::{KEYS, Vm, World},
+    vm::{API_KEYS, TestEnv, Vm},
 };
 
 /// Range of the copy's age when the store becomes unavailable, in milliseconds.
 const COPY_AGE_MS: std::ops::Range<u64> = 300..5_000;
 
 /// Range of the outage of the store, in milliseconds.
-const AWAY_MS: std::ops::Range<u64> = 0..3_000;
+const OUTAGE_MS: std::ops::Range<u64> = 0..3_000;
 
 /// Range of the time after which lost writes are written again, in milliseconds.
-const WRITTEN_AGAIN_MS: std::ops::Range<u64> = 0..400;
+const REWRITE_DELAY_MS: std::ops::Range<u64> = 0..400;
 
 /// Prefix of the keys of the routers' own entries.
-const OWN: &str = "scaleford";
+const ROUTER_KEY_PREFIX: &str = "scaleford";
 
 /// Selects a separate random sequence, so that the other faults of a seed do not change.
-const STREAM: u128 = 0x7365_7420_6261_636b;
+const RNG_STREAM: u128 = 0x7365_7420_6261_636b;
 
 /// Reverts the store repeatedly for the given time.
-pub async fn inject(world: &World, seed: u64, duration: Duration) {
-    let mut rng = Pcg64::new(u128::from(seed), STREAM);
+pub async fn inject(world: &TestEnv, seed: u64, duration: Duration) {
+    let mut rng = Pcg64::new(u128::from(seed), RNG_STREAM);
     let end = Instant::now() + duration;
     while Instant::now() < end {
         let copy = world.store.backup();
@@ -41,28 +41,28 @@
             down: true,
             ..StoreFault::default()
         });
-        pause(&mut rng, AWAY_MS).await;
+        pause(&mut rng, OUTAGE_MS).await;
         let lost = world.store.backup();
         world.store.set_back(copy.clone());
         world.store.set_fault(StoreFault::default());
         world.promises.on_settled(false);
-        pause(&mut rng, WRITTEN_AGAIN_MS).await;
+        pause(&mut rng, REWRITE_DELAY_MS).await;
         write_again(world, &lost, &copy);
     }
 }
 
 /// Time after its write within which a configuration has to be in force at all routers: the two seconds that
 /// the rule allows, and one second because the machine may be busy.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
+const CONFIG_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Number of irrelevant writes that are lost. It is larger than the number of writes that follow the revert.
-const LOST: usize = 50;
+const LOST_WRITES: usize = 50;
 
 /// Reverts the store once more after all faults have ended. A configuration that is written after that has to
 /// be in force at all routers.
-pub async fn check(world: &World) {
+pub async fn check(world: &TestEnv) {
     let copy = world.store.backup();
-    for n in 0..LOST {
+    for n in 0..LOST_WRITES {
         world.store.put(&format!("other/{n}"), b"lost");
     }
     write_and_expect(world).await;
@@ -71,10 +71,10 @@
 }
 
 /// Writes a new configuration and checks that it is in force at all routers in time.
-async fn write_and_expect(world: &World) {
-    world.write_config(&KEYS[..1]);
+async fn write_and_expect(world: &TestEnv) {
+    world.write_config(&API_KEYS[..1]);
     let version = world.version().get();
-    let deadline = Instant::now() + IN_FORCE_WITHIN;
+    let deadline = Instant::now() + CONFIG_PROPAGATION_TIME;
     for (vm_index, vm) in world.vms.iter().enumerate() {
         if tokio::time::timeout_at(deadline, until_served(vm, vm_index, version))
             .await
@@ -94,7 +94,10 @@
         attempt += 1;
         let id = format!("{kind}-check-{vm_index}-{attempt}");
         if let Some(mut caller) = Caller::connect(vm.callers).await
-            && matches!(caller.call(&kind, &id, KEYS[0]).await, End::Answer(200, ..))
+            && matches!(
+                caller.call(&kind, &id, API_KEYS[0]).await,
+                CallOutcome::Response(200, ..)
+            )
         {
             return;
         }
@@ -109,11 +112,11 @@
 
 /// Restores the entries that others than the routers had written or removed since the copy, except those that
 /// have been changed again since the revert.
-fn write_again(world: &World, lost: &Kv, copy: &Kv) {
+fn write_again(world: &TestEnv, lost: &Kv, copy: &Kv) {
     let value = |kv: &Kv, key: &String| kv.items.get(key).map(|i| i.value.clone());
     let current = world.store.backup();
     let keys = lost.items.keys().chain(copy.items.keys());
-    for key in keys.filter(|key| !key.starts_with(OWN)) {
+    for key in keys.filter(|key| !key.starts_with(ROUTER_KEY_PREFIX)) {
         let has_changed = value(&current, key) != value(copy, key);
         match value(lost, key) {
             _ if has_changed => {}
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -19,23 +19,23 @@
 use crate::{
     crashes,
     link::Link,
-    promises::Promises,
+    promises::PromiseChecker,
     serve::{Body, listen, whole},
-    withdrawals::Says,
+    withdrawals::Withdrawal,
 };
 
 /// How a target handles calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum TargetBehavior {
     #[default]
     /// Runs calls and responds.
     Healthy,
     /// Refuses calls and reports them as not run.
-    Full,
+    Refusing,
     /// Runs calls and responds with status 500.
     Failing,
     /// Runs calls and resets the connection in the middle of the response.
-    Cutting,
+    Truncating,
     /// Runs calls and never responds.
     Hanging,
 }
@@ -43,9 +43,9 @@
 /// A simulated target.
 pub struct Target {
     pub id: String,
-    pub mood: Cell<Mood>,
+    pub mood: Cell<TargetBehavior>,
     /// What it announces about itself in responses.
-    pub says: Cell<Says>,
+    pub says: Cell<Withdrawal>,
     /// Number of its restarts, which identifies the current instance.
     pub births: Cell<u64>,
     /// When the current instance started.
@@ -54,17 +54,17 @@
     pub link: OnceCell<Rc<Link>>,
     /// Notified when it runs the request that crashes it.
     pub ending: Notify,
-    promises: Rc<Promises>,
+    promises: Rc<PromiseChecker>,
 }
 
 /// Time that a plain call takes, and pause before each event of a stream.
-const WORK: Duration = Duration::from_millis(8);
+const PROCESSING_TIME: Duration = Duration::from_millis(8);
 
 /// Number of the last event of each stream; the first one is 1.
 pub const LAST_EVENT: u64 = 12;
 
 impl Target {
-    pub async fn start(id: &str, promises: &Rc<Promises>) -> (Rc<Self>, SocketAddr) {
+    pub async fn start(id: &str, promises: &Rc<PromiseChecker>) -> (Rc<Self>, SocketAddr) {
         let target = Rc::new(Self {
             id: id.to_owned(),
             mood: Cell::default(),
@@ -92,7 +92,7 @@
     pub fn on_restart(&self) {
         self.births.set(self.births.get() + 1);
         self.born.set(Instant::now());
-        self.says.set(Says::Nothing);
+        self.says.set(Withdrawal::Nothing);
     }
 
     /// Returns whether its link has had no fault for at least this time.
@@ -109,7 +109,7 @@
             return coded(400);
         };
         let body = body.to_bytes();
-        if body == crashes::BODY {
+        if body == crashes::CRASH_BODY {
             self.promises.on_crash();
             self.ending.notify_one();
             return std::future::pending().await;
@@ -117,12 +117,12 @@
         self.promises.on_arrival(&call, &self);
         let expected = text(&head.headers, "x-expect-instance");
         let behavior = match self.says.get() {
-            Says::Backoff(_) => Mood::Full,
+            Withdrawal::Backoff(_) => TargetBehavior::Refusing,
             _ => self.mood.get(),
         };
         let mut res = match () {
             () if expected != self.id => coded(421),
-            () if behavior == Mood::Full => coded(503),
+            () if behavior == TargetBehavior::Refusing => coded(503),
             () => {
                 self.promises.on_run(&self.id, &call, &head.headers, &body);
                 self.run(&head.headers, &call, behavior).await
@@ -133,12 +133,12 @@
             headers.insert("x-attempt-id", id);
         }
         headers.insert("x-server-seal", "seal".parse().expect("a header value"));
-        if behavior == Mood::Full {
+        if behavior == TargetBehavior::Refusing {
             headers.insert("x-not-run", "1".parse().expect("a header value"));
         }
         match self.says.get() {
-            Says::Leaving => drop(headers.insert("server-leaving", 1.into())),
-            Says::Backoff(seconds) if behavior == Mood::Full => {
+            Withdrawal::Leaving => drop(headers.insert("server-leaving", 1.into())),
+            Withdrawal::Backoff(seconds) if behavior == TargetBehavior::Refusing => {
                 headers.insert("retry-after", seconds.into());
             }
             _ => return res,
@@ -148,13 +148,20 @@
     }
 
     /// Runs a call and returns its response.
-    async fn run(&self, headers: &HeaderMap, call: &str, behavior: Mood) -> Response<Body> {
-        tokio::time::sleep(WORK).await;
+    async fn run(
+        &self,
+        headers: &HeaderMap,
+        call: &str,
+        behavior: TargetBehavior,
+    ) -> Response<Body> {
+        tokio::time::sleep(PROCESSING_TIME).await;
         let is_stream = call.starts_with("stream");
         match behavior {
-            Mood::Failing => coded(500),
-            Mood::Hanging => std::future::pending().await,
-            Mood::Cutting => Response::new(events(headers, call, LAST_EVENT / 2, true)),
+            TargetBehavior::Failing => coded(500),
+            TargetBehavior::Hanging => std::future::pending().await,
+            TargetBehavior::Truncating => {
+                Response::new(events(headers, call, LAST_EVENT / 2, true))
+            }
             _ if is_stream => Response::new(events(headers, call, LAST_EVENT, false)),
             _ => Response::new(whole(answer_to(call))),
         }
@@ -180,7 +187,7 @@
     let frames = stream::unfold(first, move |n| {
         let call = call.clone();
         async move {
-            tokio::time::sleep(WORK).await;
+            tokio::time::sleep(PROCESSING_TIME).await;
             let frame = match n {
                 n if n <= last => Ok(Frame::data(Bytes::from(event(&call, n)))),
                 _ if ends_with_reset => Err(std::io::ErrorKind::ConnectionReset.into()),
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -15,26 +15,26 @@
 use tokio::process::{Child, Command};
 
 use crate::{
-    Plan,
+    RunOptions,
     callers::Caller,
     link::Link,
-    promises::Promises,
+    promises::PromiseChecker,
     store::{Store, StoreFault},
     target::Target,
     withdrawals,
 };
 
 /// Number of targets. The entry of one of them may say that it is leaving.
-const TARGETS: usize = 4;
+const TARGET_COUNT: usize = 4;
 
 /// Maximum time for a start, a graceful shutdown or the recovery, even on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A router process.
 pub struct Vm {
     /// Its index among the routers of the run.
     n: usize,
-    promises: Rc<Promises>,
+    promises: Rc<PromiseChecker>,
     /// Address at which it accepts calls.
     pub callers: SocketAddr,
     /// Address of its readiness endpoint.
@@ -62,12 +62,12 @@
 }
 
 /// Routers, targets and store of a run.
-pub struct World {
+pub struct TestEnv {
     pub vms: Vec<Rc<Vm>>,
     /// Targets, each with the link through which routers reach it.
     pub targets: Vec<(Rc<Target>, Rc<Link>)>,
     pub store: Rc<Store>,
-    pub promises: Rc<Promises>,
+    pub promises: Rc<PromiseChecker>,
     /// Version of the configuration that was written last.
     version: Rc<Cell<u64>>,
     /// Directory of the routers' settings and logs.
@@ -75,14 +75,14 @@
 }
 
 /// API keys of the only account. The second one is revoked in some runs.
-pub const KEYS: [&str; 2] = ["key-that-stays", "key-that-goes"];
+pub const API_KEYS: [&str; 2] = ["key-that-stays", "key-that-goes"];
 
-impl World {
-    pub async fn start(plan: &Plan) -> Self {
-        let promises = Rc::new(Promises::default());
+impl TestEnv {
+    pub async fn start(plan: &RunOptions) -> Self {
+        let promises = Rc::new(PromiseChecker::default());
         let store = Rc::new(Store::start("127.0.0.1:0").await);
         let mut targets = Vec::new();
-        for n in 0..TARGETS {
+        for n in 0..TARGET_COUNT {
             let (target, address) = Target::start(&format!("i-{n}"), &promises).await;
             let link = Link::start(address).await.expect("free port");
             target.link.get_or_init(|| Rc::clone(&link));
@@ -108,7 +108,7 @@
         for (target, _) in &world.targets {
             world.write_entry(&target.id, "ready");
         }
-        world.write_config(&KEYS);
+        world.write_config(&API_KEYS);
         world.vms.iter().for_each(|vm| vm.start());
         world
     }
@@ -118,7 +118,7 @@
     /// Panics if one of them takes too long.
     pub async fn until_ready(&self) {
         for vm in &self.vms {
-            let ready = tokio::time::timeout(PATIENCE, vm.until_ready()).await;
+            let ready = tokio::time::timeout(STARTUP_TIMEOUT, vm.until_ready()).await;
             assert!(ready.is_ok(), "router at {} is not ready", vm.callers);
         }
     }
@@ -169,13 +169,13 @@
     pub async fn heal(&self) {
         self.store.set_fault(StoreFault::default());
         for (target, link) in &self.targets {
-            target.mood.set(crate::target::Mood::Healthy);
+            target.mood.set(crate::target::TargetBehavior::Healthy);
             withdrawals::fall_silent(self, target);
-            link.set_fault(crate::link::Fault::None);
+            link.set_fault(crate::link::LinkFault::None);
             self.write_entry(&target.id, "ready");
         }
         for vm in &self.vms {
-            vm.store_link.set_fault(crate::link::Fault::None);
+            vm.store_link.set_fault(crate::link::LinkFault::None);
             vm.resume();
             vm.ensure_runs().await;
         }
@@ -208,12 +208,12 @@
 
 /// Writes the settings file of a router, and returns the router without starting it.
 fn vm(
-    plan: &Plan,
+    plan: &RunOptions,
     vm_index: usize,
     ports: [u16; 4],
     store_link: Rc<Link>,
     dir: &std::path::Path,
-    promises: &Rc<Promises>,
+    promises: &Rc<PromiseChecker>,
 ) -> Rc<Vm> {
     // Each process of the soak test has its own loopback network, so that concurrent runs do not collide.
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -306,7 +306,9 @@
         let Some(mut child) = self.child.borrow_mut().take() else {
             return true;
         };
-        let has_exited = tokio::time::timeout(PATIENCE, child.wait()).await.is_ok();
+        let has_exited = tokio::time::timeout(STARTUP_TIMEOUT, child.wait())
+            .await
+            .is_ok();
         if !has_exited {
             // An error is ignored: the drop right after this kills the process as well.
             let _ = child.start_kill();
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -7,11 +7,11 @@
 use rand_pcg::Pcg64;
 use tokio::time::Instant;
 
-use crate::{target::Target, vm::World};
+use crate::{target::Target, vm::TestEnv};
 
 /// What a target announces about itself in responses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Says {
+pub enum Withdrawal {
     #[default]
     Nothing,
     /// It is leaving; all its responses say so.
@@ -24,21 +24,21 @@
 const PAUSE_MS: std::ops::Range<u64> = 200..1_200;
 
 /// Range of the time for which a target makes the same announcement, in milliseconds.
-const SAYS_FOR_MS: std::ops::Range<u64> = 1_000..7_000;
+const WITHDRAWAL_MS: std::ops::Range<u64> = 1_000..7_000;
 
 /// Range of the time for which a target accepts no calls, in seconds.
 const BACKOFF_S: std::ops::Range<u64> = 2..5;
 
 /// Age of a target's instance from which all routers know it, provided that they can reach the store. Routers
 /// may attribute an announcement of a younger instance to the previous one, as they can't tell the two apart.
-const KNOWN_AFTER: Duration = Duration::from_secs(3);
+const INSTANCE_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Selects a separate random sequence, so that the other faults of a seed do not change.
-const STREAM: u128 = 0x7769_7468_6472_6177;
+const RNG_STREAM: u128 = 0x7769_7468_6472_6177;
 
 /// Makes random targets withdraw for the given time.
-pub async fn inject(world: &World, seed: u64, duration: Duration) {
-    let mut rng = Pcg64::new(u128::from(seed), STREAM);
+pub async fn inject(world: &TestEnv, seed: u64, duration: Duration) {
+    let mut rng = Pcg64::new(u128::from(seed), RNG_STREAM);
     let end = Instant::now() + duration;
     let mut active: Vec<(Instant, usize)> = Vec::new();
     while Instant::now() < end {
@@ -52,19 +52,19 @@
             is_active
         });
         let target_index = rng.random_range(0..world.targets.len());
-        let announced_for = Duration::from_millis(rng.random_range(SAYS_FOR_MS));
+        let announced_for = Duration::from_millis(rng.random_range(WITHDRAWAL_MS));
         let (is_leaving, backoff_s) = (rng.random_bool(0.5), rng.random_range(BACKOFF_S));
         let in_entry = rng.random_bool(0.3);
         let target = &world.targets[target_index].0;
-        if target.says.get() != Says::Nothing {
+        if target.says.get() != Withdrawal::Nothing {
             continue;
         }
         if !is_leaving {
-            target.says.set(Says::Backoff(backoff_s));
-        } else if target.born.get().elapsed() > KNOWN_AFTER
-            && world.promises.is_settled(KNOWN_AFTER)
+            target.says.set(Withdrawal::Backoff(backoff_s));
+        } else if target.born.get().elapsed() > INSTANCE_PROPAGATION_TIME
+            && world.promises.is_settled(INSTANCE_PROPAGATION_TIME)
         {
-            target.says.set(Says::Leaving);
+            target.says.set(Withdrawal::Leaving);
             if in_entry {
                 world.write_entry(&target.id, "draining");
             }
@@ -74,34 +74,34 @@
 }
 
 /// Ends the announcement of a target. A target that was leaving is restarted.
-pub fn fall_silent(world: &World, target: &Target) {
+pub fn fall_silent(world: &TestEnv, target: &Target) {
     match target.says.get() {
-        Says::Leaving => world.on_restart(&target.id),
-        _ => target.says.set(Says::Nothing),
+        Withdrawal::Leaving => world.on_restart(&target.id),
+        _ => target.says.set(Withdrawal::Nothing),
     }
 }
 
 /// Time for which a router may still send a leaving target calls, counted from when it forwarded a response
 /// that announces the leaving: the two seconds that the rule allows. Whether a call is too late depends on
 /// when its caller sent it, so a busy machine needs no extra time.
-const LEAVES_WITHIN: Duration = Duration::from_secs(2);
+const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
 /// Time for which a target may still get calls after it asked for a backoff: the half second that the rule
 /// allows, and one second because the machine may be busy.
-const HEARD_WITHIN: Duration = Duration::from_millis(1_500);
+const BACKOFF_GRACE: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of calls that a target may get between the end of that time and the end of its backoff.
-const ARRIVALS: usize = 2;
+const MAX_BACKOFF_ARRIVALS: usize = 2;
 
 /// Time for which a link must have had no fault before it counts as delivering responses.
-const LINK_SOUND: Duration = Duration::from_secs(1);
+const HEALTHY_LINK_TIME: Duration = Duration::from_secs(1);
 
 /// Id of a target and number of its instance.
-type Life = (String, u64);
+type InstanceId = (String, u64);
 
 /// A backoff that a target asked a router for.
 #[derive(Debug)]
-struct Asked {
+struct BackoffRequest {
     /// When the target asked for it.
     at: Instant,
     /// When the backoff ends.
@@ -112,15 +112,15 @@
 
 /// Records which target announced what to which router, as far as the router has to remember it.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct WithdrawalChecker {
     /// When each call was sent by its caller, by the call's id.
     sent: RefCell<HashMap<String, Instant>>,
     /// Instance that last responded to a call with the announcement that it is leaving, by the call's id.
-    answered: RefCell<HashMap<String, Life>>,
+    answered: RefCell<HashMap<String, InstanceId>>,
     /// When a router first forwarded the announcement that an instance is leaving.
-    leaving: RefCell<HashMap<(usize, Life), Instant>>,
+    leaving: RefCell<HashMap<(usize, InstanceId), Instant>>,
     /// Backoffs that an instance asked a router for.
-    asked: RefCell<HashMap<(usize, Life), Vec<Asked>>>,
+    asked: RefCell<HashMap<(usize, InstanceId), Vec<BackoffRequest>>>,
 }
 
 /// Returns the index of the router that a call was sent to, from the call's id (`KIND-ROUTER-CALLER-NUMBER`).
@@ -128,7 +128,7 @@
     call.rsplit('-').nth(2)?.parse().ok()
 }
 
-impl Book {
+impl WithdrawalChecker {
     /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str, at: Instant) {
         self.sent.borrow_mut().insert(call.to_owned(), at);
@@ -151,20 +151,20 @@
         let leaving = self.leaving.borrow().get(&instance).copied();
         let sent = self.sent.borrow().get(call).copied();
         if let Some((since, sent)) = leaving.zip(sent)
-            && sent > since + LEAVES_WITHIN
+            && sent > since + LEAVING_GRACE
         {
             return Some(format!("{call} at {:?}, which is leaving", instance.1));
         }
-        let is_link_faulty = !target.link_is_sound(LINK_SOUND);
+        let is_link_faulty = !target.link_is_sound(HEALTHY_LINK_TIME);
         let now = Instant::now();
         let mut all_backoffs = self.asked.borrow_mut();
         let backoffs = all_backoffs.get_mut(&instance)?;
         backoffs.retain(|b| now < b.until && !is_link_faulty);
-        for backoff in backoffs.iter_mut().filter(|b| now > b.at + HEARD_WITHIN) {
+        for backoff in backoffs.iter_mut().filter(|b| now > b.at + BACKOFF_GRACE) {
             backoff.arrivals += 1;
         }
         let max_arrivals = backoffs.iter().map(|b| b.arrivals).max()?;
-        (max_arrivals > ARRIVALS).then(|| {
+        (max_arrivals > MAX_BACKOFF_ARRIVALS).then(|| {
             format!(
                 "{call}, one of {max_arrivals} at {:?}, which asked for a backoff",
                 instance.1
@@ -176,14 +176,14 @@
     pub fn on_answer(&self, call: &str, target: &Target) {
         let Some(gateway) = gateway(call) else { return };
         match target.says.get() {
-            Says::Nothing => {}
-            Says::Leaving => {
+            Withdrawal::Nothing => {}
+            Withdrawal::Leaving => {
                 let mut answered = self.answered.borrow_mut();
                 answered.insert(call.to_owned(), target.life());
             }
-            Says::Backoff(seconds) if target.link_is_sound(LINK_SOUND) => {
+            Withdrawal::Backoff(seconds) if target.link_is_sound(HEALTHY_LINK_TIME) => {
                 let now = Instant::now();
-                let backoff = Asked {
+                let backoff = BackoffRequest {
                     at: now,
                     until: now + Duration::from_secs(seconds),
                     arrivals: 0,
@@ -192,7 +192,7 @@
                 let backoffs = all_backoffs.entry((gateway, target.life())).or_default();
                 backoffs.push(backoff);
             }
-            Says::Backoff(_) => {}
+            Withdrawal::Backoff(_) => {}
         }
     }
 
