--- a/soak/src/budget.rs
+++ b/soak/src/budget.rs
@@ -29,14 +29,14 @@
 ///
 /// A call on the route of a single version counts at its first arrival at a target instead of when it is
 /// sent.
-fn is_on_lasting_route(call: &str) -> bool {
+fn is_on_permanent_route(call: &str) -> bool {
     !call.starts_with("only")
 }
 
 impl RetryBudget {
     /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str) {
-        if is_on_lasting_route(call) {
+        if is_on_permanent_route(call) {
             self.calls.borrow_mut().push_back(Instant::now());
         }
     }
@@ -47,23 +47,23 @@
     pub fn on_arrival(&self, call: &str, is_first: bool) -> Option<String> {
         let now = Instant::now();
         match is_first {
-            true if is_on_lasting_route(call) => return None,
+            true if is_on_permanent_route(call) => return None,
             true => {
                 self.calls.borrow_mut().push_back(now);
                 return None;
             }
             false => self.repeats.borrow_mut().push_back(now),
         }
-        forget_before(&mut self.calls.borrow_mut(), now, WINDOW * 2);
-        forget_before(&mut self.repeats.borrow_mut(), now, WINDOW);
-        let allowed = RETRIES_PER_CALL * self.most_calls(now) as f64 + EXTRA_RETRIES;
+        drop_older_than(&mut self.calls.borrow_mut(), now, WINDOW * 2);
+        drop_older_than(&mut self.repeats.borrow_mut(), now, WINDOW);
+        let allowed = RETRIES_PER_CALL * self.max_window_calls(now) as f64 + EXTRA_RETRIES;
         let retries = self.repeats.borrow().len();
         let is_within_budget = retries as f64 <= allowed;
         (!is_within_budget).then(|| format!("{retries} retries where {allowed:.0} are allowed"))
     }
 
     /// Returns the largest number of calls in a window that ends now, half a window ago or one window ago.
-    fn most_calls(&self, now: Instant) -> usize {
+    fn max_window_calls(&self, now: Instant) -> usize {
         let calls = self.calls.borrow();
         let count = |ago: Duration| {
             let is_within = |at: &&Instant| {
@@ -78,7 +78,7 @@
 }
 
 /// Removes the instants that are older than `age`.
-fn forget_before(times: &mut VecDeque<Instant>, now: Instant, age: Duration) {
+fn drop_older_than(times: &mut VecDeque<Instant>, now: Instant, age: Duration) {
     while times
         .front()
         .is_some_and(|at| now.duration_since(*at) > age)
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -58,11 +58,17 @@
 
     /// Sends a call whose body is its id, and returns its outcome.
     pub async fn call(&mut self, kind: &str, id: &str, key: &str) -> CallOutcome {
-        self.send(kind, id, key, id).await
+        self.call_with_body(kind, id, key, id).await
     }
 
     /// Sends a call with the given body, and returns its outcome.
-    pub async fn send(&mut self, kind: &str, id: &str, key: &str, body: &str) -> CallOutcome {
+    pub async fn call_with_body(
+        &mut self,
+        kind: &str,
+        id: &str,
+        key: &str,
+        body: &str,
+    ) -> CallOutcome {
         let req = Request::post(format!("/{kind}/x"))
             .header("host", "desk.example")
             .header("x-attempt-id", id)
@@ -106,7 +112,7 @@
             let rng =
                 Pcg64::seed_from_u64(seed ^ (vm_index * CALLERS_PER_VM + caller_index + 1) as u64);
             let name = format!("{vm_index}-{caller_index}");
-            let task = go_on_calling(
+            let task = run_caller(
                 Rc::clone(vm),
                 Rc::clone(&world.promises),
                 Rc::clone(&stop),
@@ -125,7 +131,7 @@
 }
 
 /// Sends random calls to one router until the callers are stopped.
-async fn go_on_calling(
+async fn run_caller(
     vm: Rc<Vm>,
     promises: Rc<PromiseChecker>,
     stop: Rc<Cell<bool>>,
@@ -166,15 +172,15 @@
             vm.seen_version
                 .set(vm.seen_version.get().max(requested_version));
             if requested_version < served_version {
-                promises.break_(
+                promises.record_violation(
                     Promise::ConfigNeverBack,
                     format!("{id} after v{served_version}"),
                 );
             }
         }
         let is_truncated = matches!(outcome, CallOutcome::Response(200, _, false));
-        if is_truncated && stopping && !vm.harmed.get() && !vm.runs() {
-            promises.break_(Promise::StopCutsNothing, id);
+        if is_truncated && stopping && !vm.harmed.get() && !vm.is_running() {
+            promises.record_violation(Promise::StopCutsNothing, id);
         }
         if outcome != CallOutcome::NoResponse {
             idle_caller = Some(caller);
@@ -184,14 +190,15 @@
 
 impl CallerTasks {
     /// Waits until enough calls are served after the faults, and records a violation if that takes too long.
-    pub async fn until_served_again(&self) {
+    pub async fn until_recovered(&self) {
         let served_before = self.promises.served();
         let deadline = Instant::now() + STARTUP_TIMEOUT;
         while self.promises.served() < served_before + MIN_SERVED_CALLS {
             if Instant::now() > deadline {
                 let served = self.promises.served() - served_before;
                 let description = format!("only {served} calls served in {STARTUP_TIMEOUT:?}");
-                self.promises.break_(Promise::Recovery, description);
+                self.promises
+                    .record_violation(Promise::Recovery, description);
                 return;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -23,10 +23,10 @@
 const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Time for which the caller of the request waits for a response.
-const PATIENCE: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Selects a separate random sequence, so that the other faults of a seed do not change.
-const STREAM: u64 = 0x6372_6173_6865_7300;
+const SEED_MASK: u64 = 0x6372_6173_6865_7300;
 
 /// Tasks that send the crashing request and restart crashed targets.
 pub struct CrashTasks {
@@ -38,12 +38,12 @@
 pub fn start(world: &Rc<TestEnv>, seed: u64) -> CrashTasks {
     let restarts = (0..world.targets.len()).map(|n| {
         let world = Rc::clone(world);
-        tokio::task::spawn_local(async move { restart(&world, n).await })
+        tokio::task::spawn_local(async move { restart_after_crashes(&world, n).await })
     });
     let restarts = restarts.collect();
     let world = Rc::clone(world);
     let caller = tokio::task::spawn_local(async move {
-        let mut rng = Pcg64::seed_from_u64(seed ^ STREAM);
+        let mut rng = Pcg64::seed_from_u64(seed ^ SEED_MASK);
         for n in 0_u64.. {
             let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
             tokio::time::sleep(pause).await;
@@ -53,8 +53,8 @@
             if let Some(mut caller) = Caller::connect(vm.callers).await {
                 // The outcome is ignored: only what targets observe is checked.
                 let id = format!("crash-{n}");
-                let call = caller.send("safe", &id, API_KEYS[0], CRASH_BODY);
-                let _ = tokio::time::timeout(PATIENCE, call).await;
+                let call = caller.call_with_body("safe", &id, API_KEYS[0], CRASH_BODY);
+                let _ = tokio::time::timeout(RESPONSE_TIMEOUT, call).await;
             }
         }
     });
@@ -62,13 +62,13 @@
 }
 
 /// Closes a target's link whenever the request crashes the target, and restarts it under the same name.
-async fn restart(world: &TestEnv, n: usize) {
+async fn restart_after_crashes(world: &TestEnv, n: usize) {
     let (target, link) = &world.targets[n];
     loop {
         target.ending.notified().await;
-        link.end();
+        link.close();
         tokio::time::sleep(RESTART_DELAY).await;
-        while link.begin_again().await.is_err() {
+        while link.reopen().await.is_err() {
             tokio::time::sleep(RESTART_DELAY / 10).await;
         }
         world.on_restart(&target.id);
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -35,13 +35,13 @@
     while Instant::now() < end {
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         tokio::time::sleep(pause).await;
-        write(world, &mut rng);
+        write_random_entry(world, &mut rng);
     }
     world.store.remove(EVACUATION_KEY);
 }
 
 /// Restarts a target, or writes or removes a random entry.
-fn write(world: &TestEnv, rng: &mut Pcg64) {
+fn write_random_entry(world: &TestEnv, rng: &mut Pcg64) {
     let invalid_entry = UNUSABLE_ENTRIES.choose(rng).copied().unwrap_or_default();
     match rng.random_range(0..6) {
         0 | 1 => {
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -30,7 +30,7 @@
         tokio::time::sleep(pause).await;
         match rng.random_range(0..14) {
             0 | 1 => kill(world, rng).await,
-            2 => stop(world, rng).await,
+            2 => shut_down(world, rng).await,
             3 => pause_vm(world, rng),
             4 => resume_vms(world),
             5 => reload(world, rng),
@@ -46,12 +46,12 @@
             _ if revoked => world.write_config(&API_KEYS[..1]),
             _ => world.write_config(&API_KEYS),
         }
-        world.promises.on_settled(is_settled(world));
+        world.promises.on_stability_change(is_stable(world));
     }
 }
 
 /// Returns whether all links to the store and the store itself are without fault and no router is paused.
-fn is_settled(world: &TestEnv) -> bool {
+fn is_stable(world: &TestEnv) -> bool {
     let is_store_reachable = world
         .vms
         .iter()
@@ -63,8 +63,8 @@
 /// Starts each router that is not running, then kills a random one.
 async fn kill(world: &TestEnv, rng: &mut Pcg64) {
     for vm in &world.vms {
-        if !vm.runs() {
-            vm.ensure_runs().await;
+        if !vm.is_running() {
+            vm.ensure_running().await;
         }
     }
     if let Some(vm) = world.vms.choose(rng) {
@@ -75,9 +75,9 @@
 }
 
 /// Asks a random router to shut down gracefully. A later fault starts it again.
-async fn stop(world: &TestEnv, rng: &mut Pcg64) {
+async fn shut_down(world: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = world.vms.choose(rng)
-        && vm.runs()
+        && vm.is_running()
     {
         vm.harmed.set(vm.paused.get());
         vm.stopping.set(true);
@@ -124,12 +124,12 @@
     let to_store = world.vms.iter().map(|vm| &vm.store_link);
     let links: Vec<_> = to_targets.chain(to_store).collect();
     if let Some(link) = links.choose(rng) {
-        link.set_fault(fault(rng));
+        link.set_fault(random_link_fault(rng));
     }
 }
 
 /// Returns a random fault of a link.
-fn fault(rng: &mut Pcg64) -> LinkFault {
+fn random_link_fault(rng: &mut Pcg64) -> LinkFault {
     let delay = Duration::from_millis(rng.random_range(DELAY_MS));
     let faults = [
         LinkFault::None,
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -64,12 +64,12 @@
             accepting: RefCell::default(),
             ended: Notify::new(),
         });
-        link.accept(listener);
+        link.spawn_accept_loop(listener);
         Ok(link)
     }
 
     /// Closes all connections and refuses new ones, as if the server's process had exited.
-    pub fn end(&self) {
+    pub fn close(&self) {
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
         }
@@ -77,9 +77,9 @@
     }
 
     /// Accepts connections again at the same address.
-    pub async fn begin_again(self: &Rc<Self>) -> std::io::Result<()> {
+    pub async fn reopen(self: &Rc<Self>) -> std::io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
-        self.accept(listener);
+        self.spawn_accept_loop(listener);
         Ok(())
     }
 
@@ -96,45 +96,45 @@
     }
 
     /// Returns whether the link has had no fault for at least this time.
-    pub fn is_sound(&self, duration: Duration) -> bool {
+    pub fn is_healthy_for(&self, duration: Duration) -> bool {
         let had_recent_fault = self.harmed.get().is_some_and(|at| at.elapsed() < duration);
         self.fault.get() == LinkFault::None && !had_recent_fault
     }
 
-    fn accept(self: &Rc<Self>, listener: TcpListener) {
+    fn spawn_accept_loop(self: &Rc<Self>, listener: TcpListener) {
         let link = Rc::clone(self);
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((client, _)) = listener.accept().await {
                 if link.fault.get() == LinkFault::Reset {
-                    reset(&client);
+                    reset_on_close(&client);
                     continue;
                 }
                 let upstream = link.far;
-                tokio::task::spawn_local(pass(Rc::clone(&link), client, upstream));
+                tokio::task::spawn_local(proxy_connection(Rc::clone(&link), client, upstream));
             }
         });
         *self.accepting.borrow_mut() = Some(accepting.abort_handle());
     }
 }
 
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     // With a linger time of zero, closing resets the connection. If setting the option fails, it is closed
     // normally.
     let _ = stream.set_zero_linger();
 }
 
 /// Connects to the server and passes bytes both ways until either end closes or a fault ends the connection.
-async fn pass(link: Rc<Link>, client: TcpStream, upstream_address: SocketAddr) {
+async fn proxy_connection(link: Rc<Link>, client: TcpStream, upstream_address: SocketAddr) {
     let Ok(upstream) = TcpStream::connect(upstream_address).await else {
-        reset(&client);
+        reset_on_close(&client);
         return;
     };
     let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
     let (upstream_read, upstream_write) = upstream.into_split();
     tokio::select! {
-        () = pump(&link, client_read, upstream_write, LinkFault::StallRequests) => {}
-        () = pump(&link, upstream_read, client_write, LinkFault::StallResponses) => {}
+        () = forward(&link, client_read, upstream_write, LinkFault::StallRequests) => {}
+        () = forward(&link, upstream_read, client_write, LinkFault::StallResponses) => {}
         () = until_reset(&link) => {}
         () = link.ended.notified() => {}
     }
@@ -147,7 +147,7 @@
 }
 
 /// Passes bytes in one direction until either end closes. Passes none while the fault `stall` is in force.
-async fn pump(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, stall: LinkFault) {
+async fn forward(link: &Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, stall: LinkFault) {
     let mut buf = vec![0; READ_BUFFER_BYTES];
     loop {
         let n = match from.read(&mut buf).await {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -15,10 +15,10 @@
 mod promises;
 #[path = "../../platform/tests/support/serve.rs"]
 mod serve;
-mod set_backs;
 #[allow(dead_code)]
 #[path = "../../platform/tests/support/store.rs"]
 mod store;
+mod store_reverts;
 mod target;
 mod vm;
 mod withdrawals;
@@ -136,18 +136,18 @@
     };
     let set_backs = async {
         if plan.set_backs {
-            set_backs::inject(&world, plan.seed, plan.faults_for).await;
+            store_reverts::inject(&world, plan.seed, plan.faults_for).await;
         }
     };
     let faults = faults::inject(&world, &mut rng, plan.faults_for);
     tokio::join!(faults, entries, withdrawals, set_backs);
-    world.heal().await;
-    caller_tasks.until_served_again().await;
+    world.clear_faults().await;
+    caller_tasks.until_recovered().await;
     if plan.set_backs {
-        set_backs::check(&world).await;
+        store_reverts::check_config_after_revert(&world).await;
     }
     if let Some(crash_tasks) = crash_tasks {
-        promises.on_settled(true);
+        promises.on_stability_change(true);
         tokio::time::sleep(CRASHES_AFTER_FAULTS).await;
         crash_tasks.stop();
     }
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -13,7 +13,7 @@
     RunOptions,
     budget::RetryBudget,
     crashes,
-    target::{LAST_EVENT, Target, answer_to, event},
+    target::{LAST_EVENT, Target, event, expected_answer},
     withdrawals,
 };
 
@@ -108,7 +108,7 @@
 
 impl PromiseChecker {
     /// Records a violation of a guarantee.
-    pub fn break_(&self, promise: Promise, description: String) {
+    pub fn record_violation(&self, promise: Promise, description: String) {
         self.broken.borrow_mut().push((promise, description));
     }
 
@@ -123,7 +123,7 @@
 
     /// Records whether all routers can reach the store and none is paused. While that is not so, routers need
     /// not know that a target is leaving.
-    pub fn on_settled(&self, settled: bool) {
+    pub fn on_stability_change(&self, settled: bool) {
         let at = self.settled_at.get().unwrap_or_else(Instant::now);
         self.settled_at.set(settled.then_some(at));
     }
@@ -158,21 +158,21 @@
                 counts.ended.get(),
                 counts.late.get()
             );
-            self.break_(Promise::HeldBack, description);
+            self.record_violation(Promise::HeldBack, description);
         }
     }
 
     /// Records that a call arrives at a target, which may still refuse it.
     pub fn on_arrival(&self, call: &str, target: &Target) {
         if let Some(description) = self.withdrawals.on_arrival(call, target) {
-            self.break_(Promise::WithdrawnGetsNothing, description);
+            self.record_violation(Promise::WithdrawnGetsNothing, description);
         }
         let mut calls = self.calls.borrow_mut();
         let record = calls.entry(call.to_owned()).or_default();
         record.arrivals += 1;
         let is_first = record.arrivals == 1;
         if let Some(description) = self.budget.on_arrival(call, is_first) {
-            self.break_(Promise::RetryBudget, description);
+            self.record_violation(Promise::RetryBudget, description);
         }
     }
 
@@ -188,22 +188,22 @@
         let record = calls.entry(call.to_owned()).or_default();
         record.runs += 1;
         if call.starts_with("once") && record.runs > 1 {
-            self.break_(Promise::AtMostOnce, format!("{call} ran again at {target}"));
+            self.record_violation(Promise::AtMostOnce, format!("{call} ran again at {target}"));
         }
         if record.not_run {
-            self.break_(
+            self.record_violation(
                 Promise::NotRunIsTrue,
                 format!("{call} ran later at {target}"),
             );
         }
         let account = headers.get("x-tenant").map(|v| v.as_bytes());
         if account != Some(b"farm") || body != call.as_bytes() {
-            self.break_(Promise::Unchanged, format!("{call} at {target}"));
+            self.record_violation(Promise::Unchanged, format!("{call} at {target}"));
         }
         let since = self.leaving.borrow().get(target).copied();
         let is_overdue = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() > LEAVING_GRACE);
         if is_overdue(since) && self.is_settled(LEAVING_GRACE) {
-            self.break_(Promise::LeavingGetsNothing, format!("{call} at {target}"));
+            self.record_violation(Promise::LeavingGetsNothing, format!("{call} at {target}"));
         }
     }
 
@@ -220,7 +220,7 @@
         self.asked.set(self.asked.get() + 1);
         let arrivals = self.calls.borrow().get(call).map_or(0, |c| c.arrivals);
         if arrivals == 1 && matches!(outcome, CallOutcome::Response(200 | 500, ..)) {
-            self.withdrawals.on_passed_on(call);
+            self.withdrawals.on_response_forwarded(call);
         }
         let (status, body, complete) = match outcome {
             CallOutcome::Response(status, body, complete) => (*status, body.as_slice(), *complete),
@@ -235,7 +235,7 @@
                 // A call that may be retried may have run at one target before another refused it. Only a
                 // call that must not be retried is guaranteed not to have run.
                 if ran && call.starts_with("once") {
-                    self.break_(Promise::NotRunIsTrue, format!("{call} had run earlier"));
+                    self.record_violation(Promise::NotRunIsTrue, format!("{call} had run earlier"));
                 }
             }
             _ => {}
@@ -243,7 +243,7 @@
         let revoked = self.revoked_at.get();
         let is_too_late = revoked.is_some_and(|at| sent_at > at + REVOCATION_GRACE);
         if uses_second_key && is_too_late && ran {
-            self.break_(Promise::RevokedKeys, format!("{call} ran after revocation"));
+            self.record_violation(Promise::RevokedKeys, format!("{call} ran after revocation"));
         }
     }
 
@@ -252,13 +252,13 @@
         self.served.set(self.served.get() + 1);
         let expected = match call.starts_with("stream") {
             true => (1..=LAST_EVENT).map(|n| event(call, n)).collect::<String>(),
-            false => answer_to(call),
+            false => expected_answer(call),
         };
         let is_prefix = expected.as_bytes().starts_with(body);
         let is_equal = expected.as_bytes() == body;
         if !is_prefix || (is_complete && !is_equal) {
             let got = String::from_utf8_lossy(body).into_owned();
-            self.break_(Promise::OwnWholeAnswer, format!("{call} got {got:?}"));
+            self.record_violation(Promise::OwnWholeAnswer, format!("{call} got {got:?}"));
         }
     }
 
--- a/soak/src/set_backs.rs
+++ b/soak/src/store_reverts.rs
@@ -36,18 +36,18 @@
     let end = Instant::now() + duration;
     while Instant::now() < end {
         let copy = world.store.backup();
-        pause(&mut rng, COPY_AGE_MS).await;
+        sleep_random_ms(&mut rng, COPY_AGE_MS).await;
         world.store.set_fault(StoreFault {
             down: true,
             ..StoreFault::default()
         });
-        pause(&mut rng, OUTAGE_MS).await;
+        sleep_random_ms(&mut rng, OUTAGE_MS).await;
         let lost = world.store.backup();
         world.store.set_back(copy.clone());
         world.store.set_fault(StoreFault::default());
-        world.promises.on_settled(false);
-        pause(&mut rng, REWRITE_DELAY_MS).await;
-        write_again(world, &lost, &copy);
+        world.promises.on_stability_change(false);
+        sleep_random_ms(&mut rng, REWRITE_DELAY_MS).await;
+        rewrite_lost_entries(world, &lost, &copy);
     }
 }
 
@@ -60,18 +60,18 @@
 
 /// Reverts the store once more after all faults have ended. A configuration that is written after that has to
 /// be in force at all routers.
-pub async fn check(world: &TestEnv) {
+pub async fn check_config_after_revert(world: &TestEnv) {
     let copy = world.store.backup();
     for n in 0..LOST_WRITES {
         world.store.put(&format!("other/{n}"), b"lost");
     }
-    write_and_expect(world).await;
+    write_and_check_config(world).await;
     world.store.set_back(copy);
-    write_and_expect(world).await;
+    write_and_check_config(world).await;
 }
 
 /// Writes a new configuration and checks that it is in force at all routers in time.
-async fn write_and_expect(world: &TestEnv) {
+async fn write_and_check_config(world: &TestEnv) {
     world.write_config(&API_KEYS[..1]);
     let version = world.version().get();
     let deadline = Instant::now() + CONFIG_PROPAGATION_TIME;
@@ -81,7 +81,9 @@
             .is_err()
         {
             let description = format!("version {version} is not in force at {}", vm.callers);
-            world.promises.break_(Promise::ConfigInForce, description);
+            world
+                .promises
+                .record_violation(Promise::ConfigInForce, description);
         }
     }
 }
@@ -106,13 +108,13 @@
 }
 
 /// Sleeps for a random number of milliseconds from the range.
-async fn pause(rng: &mut Pcg64, ms: std::ops::Range<u64>) {
+async fn sleep_random_ms(rng: &mut Pcg64, ms: std::ops::Range<u64>) {
     tokio::time::sleep(Duration::from_millis(rng.random_range(ms))).await;
 }
 
 /// Restores the entries that others than the routers had written or removed since the copy, except those that
 /// have been changed again since the revert.
-fn write_again(world: &TestEnv, lost: &Kv, copy: &Kv) {
+fn rewrite_lost_entries(world: &TestEnv, lost: &Kv, copy: &Kv) {
     let value = |kv: &Kv, key: &String| kv.items.get(key).map(|i| i.value.clone());
     let current = world.store.backup();
     let keys = lost.items.keys().chain(copy.items.keys());
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -78,13 +78,13 @@
         let handler_target = Rc::clone(&target);
         let address = listen(move |req| {
             let target = Rc::clone(&handler_target);
-            async move { target.answer(req).await }
+            async move { target.handle(req).await }
         });
         (target, address.await)
     }
 
     /// Returns its id and the number of its current instance.
-    pub fn life(&self) -> (String, u64) {
+    pub fn instance(&self) -> (String, u64) {
         (self.id.clone(), self.births.get())
     }
 
@@ -92,21 +92,23 @@
     pub fn on_restart(&self) {
         self.births.set(self.births.get() + 1);
         self.born.set(Instant::now());
-        self.says.set(Withdrawal::Nothing);
+        self.says.set(Withdrawal::None);
     }
 
     /// Returns whether its link has had no fault for at least this time.
-    pub fn link_is_sound(&self, duration: Duration) -> bool {
-        self.link.get().is_some_and(|link| link.is_sound(duration))
+    pub fn link_is_healthy_for(&self, duration: Duration) -> bool {
+        self.link
+            .get()
+            .is_some_and(|link| link.is_healthy_for(duration))
     }
 
     /// Handles a request.
-    async fn answer(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
+    async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
         let (head, body) = req.into_parts();
-        let call = text(&head.headers, "x-attempt-id").to_owned();
+        let call = header_text(&head.headers, "x-attempt-id").to_owned();
         // The body is incomplete if the caller closed the connection in the middle of its request.
         let Ok(body) = body.collect().await else {
-            return coded(400);
+            return status_response(400);
         };
         let body = body.to_bytes();
         if body == crashes::CRASH_BODY {
@@ -115,14 +117,14 @@
             return std::future::pending().await;
         }
         self.promises.on_arrival(&call, &self);
-        let expected = text(&head.headers, "x-expect-instance");
+        let expected = header_text(&head.headers, "x-expect-instance");
         let behavior = match self.says.get() {
             Withdrawal::Backoff(_) => TargetBehavior::Refusing,
             _ => self.mood.get(),
         };
         let mut res = match () {
-            () if expected != self.id => coded(421),
-            () if behavior == TargetBehavior::Refusing => coded(503),
+            () if expected != self.id => status_response(421),
+            () if behavior == TargetBehavior::Refusing => status_response(503),
             () => {
                 self.promises.on_run(&self.id, &call, &head.headers, &body);
                 self.run(&head.headers, &call, behavior).await
@@ -157,19 +159,19 @@
         tokio::time::sleep(PROCESSING_TIME).await;
         let is_stream = call.starts_with("stream");
         match behavior {
-            TargetBehavior::Failing => coded(500),
+            TargetBehavior::Failing => status_response(500),
             TargetBehavior::Hanging => std::future::pending().await,
             TargetBehavior::Truncating => {
                 Response::new(events(headers, call, LAST_EVENT / 2, true))
             }
             _ if is_stream => Response::new(events(headers, call, LAST_EVENT, false)),
-            _ => Response::new(whole(answer_to(call))),
+            _ => Response::new(whole(expected_answer(call))),
         }
     }
 }
 
 /// Returns the expected body of the response to a plain call.
-pub fn answer_to(call: &str) -> String {
+pub fn expected_answer(call: &str) -> String {
     format!("answer to {call}")
 }
 
@@ -182,7 +184,7 @@
 ///
 /// If `ends_with_reset` is set, it ends with a connection reset.
 fn events(headers: &HeaderMap, call: &str, last: u64, ends_with_reset: bool) -> Body {
-    let first = text(headers, "last-event-id").parse().unwrap_or(0) + 1;
+    let first = header_text(headers, "last-event-id").parse().unwrap_or(0) + 1;
     let call = call.to_owned();
     let frames = stream::unfold(first, move |n| {
         let call = call.clone();
@@ -200,14 +202,14 @@
 }
 
 /// Returns a response with this status.
-fn coded(status: u16) -> Response<Body> {
+fn status_response(status: u16) -> Response<Body> {
     let mut res = Response::new(whole("no"));
     *res.status_mut() = status.try_into().expect("a valid status code");
     res
 }
 
 /// Returns the value of a header as text, or an empty text.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default()
 }
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -95,7 +95,7 @@
         let mut vms = Vec::new();
         for n in 0..plan.vms {
             let link = Link::start(store.server.address).await.expect("free port");
-            vms.push(vm(plan, n, ports, link, &dir, &promises));
+            vms.push(create_vm(plan, n, ports, link, &dir, &promises));
         }
         let world = Self {
             vms,
@@ -166,18 +166,18 @@
     }
 
     /// Ends all faults, starts the routers that are not running, and waits until all are ready.
-    pub async fn heal(&self) {
+    pub async fn clear_faults(&self) {
         self.store.set_fault(StoreFault::default());
         for (target, link) in &self.targets {
             target.mood.set(crate::target::TargetBehavior::Healthy);
-            withdrawals::fall_silent(self, target);
+            withdrawals::end_withdrawal(self, target);
             link.set_fault(crate::link::LinkFault::None);
             self.write_entry(&target.id, "ready");
         }
         for vm in &self.vms {
             vm.store_link.set_fault(crate::link::LinkFault::None);
             vm.resume();
-            vm.ensure_runs().await;
+            vm.ensure_running().await;
         }
         self.until_ready().await;
     }
@@ -207,7 +207,7 @@
 }
 
 /// Writes the settings file of a router, and returns the router without starting it.
-fn vm(
+fn create_vm(
     plan: &RunOptions,
     vm_index: usize,
     ports: [u16; 4],
@@ -268,13 +268,13 @@
         self.ending.set(false);
         self.harmed.set(false);
         self.seen_version.set(0);
-        self.promises.withdrawals.on_interrupted(self.n);
+        self.promises.withdrawals.on_vm_interrupted(self.n);
     }
 
     /// Sends a signal to the process, if it is running.
     pub fn signal(&self, signal: Signal) {
         if signal != Signal::HUP {
-            self.promises.withdrawals.on_interrupted(self.n);
+            self.promises.withdrawals.on_vm_interrupted(self.n);
         }
         let child = self.child.borrow();
         let id = child.as_ref().and_then(Child::id);
@@ -292,7 +292,7 @@
     }
 
     /// Returns whether the process is running.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         let mut child = self.child.borrow_mut();
         child
             .as_mut()
@@ -317,8 +317,8 @@
     }
 
     /// Starts the process again if it has exited or is about to, after it has exited.
-    pub async fn ensure_runs(&self) {
-        if self.ending.get() || !self.runs() {
+    pub async fn ensure_running(&self) {
+        if self.ending.get() || !self.is_running() {
             self.until_ended().await;
             self.start();
         }
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Withdrawal {
     #[default]
-    Nothing,
+    None,
     /// It is leaving; all its responses say so.
     Leaving,
     /// It refuses all calls, and accepts none for this number of seconds.
@@ -47,7 +47,7 @@
         active.retain(|(end, target_index)| {
             let is_active = Instant::now() < *end;
             if !is_active {
-                fall_silent(world, &world.targets[*target_index].0);
+                end_withdrawal(world, &world.targets[*target_index].0);
             }
             is_active
         });
@@ -56,7 +56,7 @@
         let (is_leaving, backoff_s) = (rng.random_bool(0.5), rng.random_range(BACKOFF_S));
         let in_entry = rng.random_bool(0.3);
         let target = &world.targets[target_index].0;
-        if target.says.get() != Withdrawal::Nothing {
+        if target.says.get() != Withdrawal::None {
             continue;
         }
         if !is_leaving {
@@ -74,10 +74,10 @@
 }
 
 /// Ends the announcement of a target. A target that was leaving is restarted.
-pub fn fall_silent(world: &TestEnv, target: &Target) {
+pub fn end_withdrawal(world: &TestEnv, target: &Target) {
     match target.says.get() {
         Withdrawal::Leaving => world.on_restart(&target.id),
-        _ => target.says.set(Withdrawal::Nothing),
+        _ => target.says.set(Withdrawal::None),
     }
 }
 
@@ -124,7 +124,7 @@
 }
 
 /// Returns the index of the router that a call was sent to, from the call's id (`KIND-ROUTER-CALLER-NUMBER`).
-fn gateway(call: &str) -> Option<usize> {
+fn vm_index(call: &str) -> Option<usize> {
     call.rsplit('-').nth(2)?.parse().ok()
 }
 
@@ -137,7 +137,7 @@
     /// Drops what a router had to remember.
     ///
     /// Called when it is started, killed, shut down, paused or resumed, as it may have forgotten it.
-    pub fn on_interrupted(&self, gateway: usize) {
+    pub fn on_vm_interrupted(&self, gateway: usize) {
         self.leaving.borrow_mut().retain(|(g, _), _| *g != gateway);
         self.asked.borrow_mut().retain(|(g, _), _| *g != gateway);
     }
@@ -146,8 +146,8 @@
     ///
     /// Returns a description of the violation if the call should not have been sent there.
     pub fn on_arrival(&self, call: &str, target: &Target) -> Option<String> {
-        let gateway = gateway(call)?;
-        let instance = (gateway, target.life());
+        let gateway = vm_index(call)?;
+        let instance = (gateway, target.instance());
         let leaving = self.leaving.borrow().get(&instance).copied();
         let sent = self.sent.borrow().get(call).copied();
         if let Some((since, sent)) = leaving.zip(sent)
@@ -155,7 +155,7 @@
         {
             return Some(format!("{call} at {:?}, which is leaving", instance.1));
         }
-        let is_link_faulty = !target.link_is_sound(HEALTHY_LINK_TIME);
+        let is_link_faulty = !target.link_is_healthy_for(HEALTHY_LINK_TIME);
         let now = Instant::now();
         let mut all_backoffs = self.asked.borrow_mut();
         let backoffs = all_backoffs.get_mut(&instance)?;
@@ -174,14 +174,16 @@
 
     /// Records that a target responds to a call with an announcement about itself.
     pub fn on_answer(&self, call: &str, target: &Target) {
-        let Some(gateway) = gateway(call) else { return };
+        let Some(gateway) = vm_index(call) else {
+            return;
+        };
         match target.says.get() {
-            Withdrawal::Nothing => {}
+            Withdrawal::None => {}
             Withdrawal::Leaving => {
                 let mut answered = self.answered.borrow_mut();
-                answered.insert(call.to_owned(), target.life());
+                answered.insert(call.to_owned(), target.instance());
             }
-            Withdrawal::Backoff(seconds) if target.link_is_sound(HEALTHY_LINK_TIME) => {
+            Withdrawal::Backoff(seconds) if target.link_is_healthy_for(HEALTHY_LINK_TIME) => {
                 let now = Instant::now();
                 let backoff = BackoffRequest {
                     at: now,
@@ -189,7 +191,9 @@
                     arrivals: 0,
                 };
                 let mut all_backoffs = self.asked.borrow_mut();
-                let backoffs = all_backoffs.entry((gateway, target.life())).or_default();
+                let backoffs = all_backoffs
+                    .entry((gateway, target.instance()))
+                    .or_default();
                 backoffs.push(backoff);
             }
             Withdrawal::Backoff(_) => {}
@@ -197,9 +201,9 @@
     }
 
     /// Records that a caller received a target's response to a call that was sent to no other target.
-    pub fn on_passed_on(&self, call: &str) {
+    pub fn on_response_forwarded(&self, call: &str) {
         let answered = self.answered.borrow_mut().remove(call);
-        let Some((gateway, instance)) = gateway(call).zip(answered) else {
+        let Some((gateway, instance)) = vm_index(call).zip(answered) else {
             return;
         };
         let mut leaving = self.leaving.borrow_mut();
