--- a/soak/src/budget.rs
+++ b/soak/src/budget.rs
@@ -22,7 +22,7 @@
     /// When recent calls were counted.
     calls: RefCell<VecDeque<Instant>>,
     /// When recent retries arrived at targets.
-    repeats: RefCell<VecDeque<Instant>>,
+    retries: RefCell<VecDeque<Instant>>,
 }
 
 /// Returns whether a call uses a route that every configuration has.
@@ -52,12 +52,12 @@
                 self.calls.borrow_mut().push_back(now);
                 return None;
             }
-            false => self.repeats.borrow_mut().push_back(now),
+            false => self.retries.borrow_mut().push_back(now),
         }
         drop_older_than(&mut self.calls.borrow_mut(), now, WINDOW * 2);
-        drop_older_than(&mut self.repeats.borrow_mut(), now, WINDOW);
+        drop_older_than(&mut self.retries.borrow_mut(), now, WINDOW);
         let allowed = RETRIES_PER_CALL * self.max_window_calls(now) as f64 + EXTRA_RETRIES;
-        let retries = self.repeats.borrow().len();
+        let retries = self.retries.borrow().len();
         let is_within_budget = retries as f64 <= allowed;
         (!is_within_budget).then(|| format!("{retries} retries where {allowed:.0} are allowed"))
     }
--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -99,7 +99,7 @@
 pub struct CallerTasks {
     tasks: Vec<JoinHandle<()>>,
     /// Whether the callers should stop after their current calls.
-    over: Rc<Cell<bool>>,
+    stop_requested: Rc<Cell<bool>>,
     promises: Rc<PromiseChecker>,
 }
 
@@ -125,7 +125,7 @@
     }
     CallerTasks {
         tasks,
-        over: stop,
+        stop_requested: stop,
         promises: Rc::clone(&world.promises),
     }
 }
@@ -152,12 +152,12 @@
         let id = format!("{kind}-{name}-{n}");
         let mut caller = match idle_caller.take().filter(|c| c.sender.is_ready()) {
             Some(caller) => caller,
-            None => match Caller::connect(vm.callers).await {
+            None => match Caller::connect(vm.caller_address).await {
                 Some(caller) => caller,
                 None => continue,
             },
         };
-        let stopping = vm.stopping.get();
+        let stopping = vm.shutting_down.get();
         let served_version = vm.seen_version.get();
         let sent_at = Instant::now();
         promises.on_sent(&id, sent_at);
@@ -179,7 +179,7 @@
             }
         }
         let is_truncated = matches!(outcome, CallOutcome::Response(200, _, false));
-        if is_truncated && stopping && !vm.harmed.get() && !vm.is_running() {
+        if is_truncated && stopping && !vm.disrupted.get() && !vm.is_running() {
             promises.record_violation(Promise::StopCutsNothing, id);
         }
         if outcome != CallOutcome::NoResponse {
@@ -207,7 +207,7 @@
 
     /// Stops the callers after each has finished its current call.
     pub async fn stop(self) {
-        self.over.set(true);
+        self.stop_requested.set(true);
         for task in self.tasks {
             // A panic of a caller has been printed already.
             let _ = task.await;
--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -50,7 +50,7 @@
             let Some(vm) = world.vms.choose(&mut rng) else {
                 return;
             };
-            if let Some(mut caller) = Caller::connect(vm.callers).await {
+            if let Some(mut caller) = Caller::connect(vm.caller_address).await {
                 // The outcome is ignored: only what targets observe is checked.
                 let id = format!("crash-{n}");
                 let call = caller.call_with_body("safe", &id, API_KEYS[0], CRASH_BODY);
@@ -90,5 +90,5 @@
     pub ended: Cell<u32>,
     /// Number of times that it reached a target after the time by which all routers have to know of the third
     /// crash.
-    pub late: Cell<u32>,
+    pub late_arrivals: Cell<u32>,
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -68,8 +68,8 @@
         }
     }
     if let Some(vm) = world.vms.choose(rng) {
-        vm.harmed.set(true);
-        vm.ending.set(true);
+        vm.disrupted.set(true);
+        vm.terminating.set(true);
         vm.signal(Signal::KILL);
     }
 }
@@ -79,16 +79,16 @@
     if let Some(vm) = world.vms.choose(rng)
         && vm.is_running()
     {
-        vm.harmed.set(vm.paused.get());
-        vm.stopping.set(true);
-        vm.ending.set(true);
+        vm.disrupted.set(vm.paused.get());
+        vm.shutting_down.set(true);
+        vm.terminating.set(true);
         vm.signal(Signal::TERM);
     }
 }
 
 fn pause_vm(world: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = world.vms.choose(rng) {
-        vm.harmed.set(true);
+        vm.disrupted.set(true);
         vm.paused.set(true);
         vm.signal(Signal::STOP);
     }
@@ -115,7 +115,7 @@
     ];
     if let (Some((target, _)), Some(behavior)) = (world.targets.choose(rng), behaviors.choose(rng))
     {
-        target.mood.set(*behavior);
+        target.behavior.set(*behavior);
     }
 }
 
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -39,11 +39,11 @@
     /// When the last fault ended or was replaced by another one.
     harmed: Cell<Option<Instant>>,
     /// Address of the server behind the link.
-    far: SocketAddr,
+    upstream_address: SocketAddr,
     /// The task that accepts connections, if the link is open.
-    accepting: RefCell<Option<AbortHandle>>,
+    accept_task: RefCell<Option<AbortHandle>>,
     /// Notifies all connections that the link is closed.
-    ended: Notify,
+    closed: Notify,
 }
 
 /// Interval at which a connection checks whether a fault has begun or ended.
@@ -60,9 +60,9 @@
             address: listener.local_addr()?,
             fault: Cell::default(),
             harmed: Cell::default(),
-            far: upstream,
-            accepting: RefCell::default(),
-            ended: Notify::new(),
+            upstream_address: upstream,
+            accept_task: RefCell::default(),
+            closed: Notify::new(),
         });
         link.spawn_accept_loop(listener);
         Ok(link)
@@ -70,10 +70,10 @@
 
     /// Closes all connections and refuses new ones, as if the server's process had exited.
     pub fn close(&self) {
-        if let Some(accepting) = self.accepting.borrow_mut().take() {
+        if let Some(accepting) = self.accept_task.borrow_mut().take() {
             accepting.abort();
         }
-        self.ended.notify_waiters();
+        self.closed.notify_waiters();
     }
 
     /// Accepts connections again at the same address.
@@ -109,11 +109,11 @@
                     reset_on_close(&client);
                     continue;
                 }
-                let upstream = link.far;
+                let upstream = link.upstream_address;
                 tokio::task::spawn_local(proxy_connection(Rc::clone(&link), client, upstream));
             }
         });
-        *self.accepting.borrow_mut() = Some(accepting.abort_handle());
+        *self.accept_task.borrow_mut() = Some(accepting.abort_handle());
     }
 }
 
@@ -136,7 +136,7 @@
         () = forward(&link, client_read, upstream_write, LinkFault::StallRequests) => {}
         () = forward(&link, upstream_read, client_write, LinkFault::StallResponses) => {}
         () = until_reset(&link) => {}
-        () = link.ended.notified() => {}
+        () = link.closed.notified() => {}
     }
 }
 
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -81,7 +81,7 @@
     /// Number of times that a target started to run it.
     runs: u32,
     /// Whether its caller got a status that says that it was not run.
-    not_run: bool,
+    reported_not_run: bool,
 }
 
 /// Records all calls and checks the guarantees.
@@ -92,11 +92,11 @@
     /// Violations, each with a description.
     broken: RefCell<Vec<(Promise, String)>>,
     /// Targets whose entries say that they are leaving, each with the instant since when.
-    leaving: RefCell<HashMap<String, Instant>>,
+    leaving_since: RefCell<HashMap<String, Instant>>,
     /// When the second key was revoked.
     revoked_at: Cell<Option<Instant>>,
     /// Since when routers can receive all updates of the store, if they can.
-    settled_at: Cell<Option<Instant>>,
+    stable_since: Cell<Option<Instant>>,
     /// Number of calls that have ended.
     asked: Cell<u64>,
     /// Number of calls that got status 200.
@@ -114,7 +114,7 @@
 
     /// Records that a target's entry says that it is leaving, or no longer does.
     pub fn on_leaving(&self, target: &str, is_leaving: bool) {
-        let mut leaving = self.leaving.borrow_mut();
+        let mut leaving = self.leaving_since.borrow_mut();
         match is_leaving {
             true => leaving.insert(target.to_owned(), Instant::now()),
             false => leaving.remove(target),
@@ -124,14 +124,14 @@
     /// Records whether all routers can reach the store and none is paused. While that is not so, routers need
     /// not know that a target is leaving.
     pub fn on_stability_change(&self, settled: bool) {
-        let at = self.settled_at.get().unwrap_or_else(Instant::now);
-        self.settled_at.set(settled.then_some(at));
+        let at = self.stable_since.get().unwrap_or_else(Instant::now);
+        self.stable_since.set(settled.then_some(at));
     }
 
     /// Returns whether all routers have been able to reach the store, with none paused, for more than this
     /// time.
-    pub fn is_settled(&self, duration: Duration) -> bool {
-        let since = self.settled_at.get();
+    pub fn is_stable_for(&self, duration: Duration) -> bool {
+        let since = self.stable_since.get();
         since.is_some_and(|at| at.elapsed() > duration)
     }
 
@@ -147,16 +147,17 @@
     pub fn on_crash(&self) {
         let counts = &self.crashes;
         counts.ended.set(counts.ended.get() + 1);
-        let can_know = counts.ended.get() > MAX_CRASHES && self.is_settled(CRASH_PROPAGATION_TIME);
+        let can_know =
+            counts.ended.get() > MAX_CRASHES && self.is_stable_for(CRASH_PROPAGATION_TIME);
         if !can_know {
             return;
         }
-        counts.late.set(counts.late.get() + 1);
-        if counts.late.get() > MAX_LATE_ARRIVALS {
+        counts.late_arrivals.set(counts.late_arrivals.get() + 1);
+        if counts.late_arrivals.get() > MAX_LATE_ARRIVALS {
             let description = format!(
                 "{} targets crashed, {} after routers had to know",
                 counts.ended.get(),
-                counts.late.get()
+                counts.late_arrivals.get()
             );
             self.record_violation(Promise::HeldBack, description);
         }
@@ -190,7 +191,7 @@
         if call.starts_with("once") && record.runs > 1 {
             self.record_violation(Promise::AtMostOnce, format!("{call} ran again at {target}"));
         }
-        if record.not_run {
+        if record.reported_not_run {
             self.record_violation(
                 Promise::NotRunIsTrue,
                 format!("{call} ran later at {target}"),
@@ -200,9 +201,9 @@
         if account != Some(b"farm") || body != call.as_bytes() {
             self.record_violation(Promise::Unchanged, format!("{call} at {target}"));
         }
-        let since = self.leaving.borrow().get(target).copied();
+        let since = self.leaving_since.borrow().get(target).copied();
         let is_overdue = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() > LEAVING_GRACE);
-        if is_overdue(since) && self.is_settled(LEAVING_GRACE) {
+        if is_overdue(since) && self.is_stable_for(LEAVING_GRACE) {
             self.record_violation(Promise::LeavingGetsNothing, format!("{call} at {target}"));
         }
     }
@@ -231,7 +232,7 @@
             200 => self.on_success(call, body, complete),
             503 | 429 | 421 | 408 => {
                 let mut calls = self.calls.borrow_mut();
-                calls.entry(call.to_owned()).or_default().not_run = true;
+                calls.entry(call.to_owned()).or_default().reported_not_run = true;
                 // A call that may be retried may have run at one target before another refused it. Only a
                 // call that must not be retried is guaranteed not to have run.
                 if ran && call.starts_with("once") {
--- a/soak/src/store_reverts.rs
+++ b/soak/src/store_reverts.rs
@@ -80,7 +80,7 @@
             .await
             .is_err()
         {
-            let description = format!("version {version} is not in force at {}", vm.callers);
+            let description = format!("version {version} is not in force at {}", vm.caller_address);
             world
                 .promises
                 .record_violation(Promise::ConfigInForce, description);
@@ -95,7 +95,7 @@
     loop {
         attempt += 1;
         let id = format!("{kind}-check-{vm_index}-{attempt}");
-        if let Some(mut caller) = Caller::connect(vm.callers).await
+        if let Some(mut caller) = Caller::connect(vm.caller_address).await
             && matches!(
                 caller.call(&kind, &id, API_KEYS[0]).await,
                 CallOutcome::Response(200, ..)
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -43,13 +43,13 @@
 /// A simulated target.
 pub struct Target {
     pub id: String,
-    pub mood: Cell<TargetBehavior>,
+    pub behavior: Cell<TargetBehavior>,
     /// What it announces about itself in responses.
-    pub says: Cell<Withdrawal>,
+    pub withdrawal: Cell<Withdrawal>,
     /// Number of its restarts, which identifies the current instance.
-    pub births: Cell<u64>,
+    pub restarts: Cell<u64>,
     /// When the current instance started.
-    pub born: Cell<Instant>,
+    pub started_at: Cell<Instant>,
     /// Link through which routers reach it.
     pub link: OnceCell<Rc<Link>>,
     /// Notified when it runs the request that crashes it.
@@ -67,10 +67,10 @@
     pub async fn start(id: &str, promises: &Rc<PromiseChecker>) -> (Rc<Self>, SocketAddr) {
         let target = Rc::new(Self {
             id: id.to_owned(),
-            mood: Cell::default(),
-            says: Cell::default(),
-            births: Cell::default(),
-            born: Cell::new(Instant::now()),
+            behavior: Cell::default(),
+            withdrawal: Cell::default(),
+            restarts: Cell::default(),
+            started_at: Cell::new(Instant::now()),
             link: OnceCell::new(),
             ending: Notify::new(),
             promises: Rc::clone(promises),
@@ -85,14 +85,14 @@
 
     /// Returns its id and the number of its current instance.
     pub fn instance(&self) -> (String, u64) {
-        (self.id.clone(), self.births.get())
+        (self.id.clone(), self.restarts.get())
     }
 
     /// Starts a new instance under the same id.
     pub fn on_restart(&self) {
-        self.births.set(self.births.get() + 1);
-        self.born.set(Instant::now());
-        self.says.set(Withdrawal::None);
+        self.restarts.set(self.restarts.get() + 1);
+        self.started_at.set(Instant::now());
+        self.withdrawal.set(Withdrawal::None);
     }
 
     /// Returns whether its link has had no fault for at least this time.
@@ -118,9 +118,9 @@
         }
         self.promises.on_arrival(&call, &self);
         let expected = header_text(&head.headers, "x-expect-instance");
-        let behavior = match self.says.get() {
+        let behavior = match self.withdrawal.get() {
             Withdrawal::Backoff(_) => TargetBehavior::Refusing,
-            _ => self.mood.get(),
+            _ => self.behavior.get(),
         };
         let mut res = match () {
             () if expected != self.id => status_response(421),
@@ -138,7 +138,7 @@
         if behavior == TargetBehavior::Refusing {
             headers.insert("x-not-run", "1".parse().expect("a header value"));
         }
-        match self.says.get() {
+        match self.withdrawal.get() {
             Withdrawal::Leaving => drop(headers.insert("server-leaving", 1.into())),
             Withdrawal::Backoff(seconds) if behavior == TargetBehavior::Refusing => {
                 headers.insert("retry-after", seconds.into());
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -33,12 +33,12 @@
 /// A router process.
 pub struct Vm {
     /// Its index among the routers of the run.
-    n: usize,
+    index: usize,
     promises: Rc<PromiseChecker>,
     /// Address at which it accepts calls.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address of its readiness endpoint.
-    ready: SocketAddr,
+    ready_address: SocketAddr,
     /// Path of its settings file.
     settings: PathBuf,
     /// Path of its log file.
@@ -47,9 +47,9 @@
     program: PathBuf,
     child: RefCell<Option<Child>>,
     /// Whether it was asked to shut down gracefully, so that its calls must not be cut off.
-    pub stopping: Cell<bool>,
+    pub shutting_down: Cell<bool>,
     /// Whether it was killed or asked to shut down, even if it has not exited yet.
-    pub ending: Cell<bool>,
+    pub terminating: Cell<bool>,
     /// Whether it is paused.
     pub paused: Cell<bool>,
     /// Its link to the store.
@@ -58,7 +58,7 @@
     pub seen_version: Cell<u64>,
     /// Whether it was killed or paused since it was last started or asked to shut down, or was paused when
     /// asked.
-    pub harmed: Cell<bool>,
+    pub disrupted: Cell<bool>,
 }
 
 /// Routers, targets and store of a run.
@@ -119,7 +119,11 @@
     pub async fn until_ready(&self) {
         for vm in &self.vms {
             let ready = tokio::time::timeout(STARTUP_TIMEOUT, vm.until_ready()).await;
-            assert!(ready.is_ok(), "router at {} is not ready", vm.callers);
+            assert!(
+                ready.is_ok(),
+                "router at {} is not ready",
+                vm.caller_address
+            );
         }
     }
 
@@ -159,7 +163,7 @@
         let Some((target, link)) = found else { return };
         let entry = json!({"service": "desk", "address": link.address.to_string(),
             "zone": "yard", "version": "v1", "slots": 64, "state": state, "coldLeftMs": 0,
-            "callSeq": 0, "born": 1_764_720_000_000 + target.births.get()});
+            "callSeq": 0, "born": 1_764_720_000_000 + target.restarts.get()});
         let key = format!("servers/{id}");
         self.store.put(&key, entry.to_string().as_bytes());
         self.promises.on_leaving(id, state != "ready");
@@ -169,7 +173,7 @@
     pub async fn clear_faults(&self) {
         self.store.set_fault(StoreFault::default());
         for (target, link) in &self.targets {
-            target.mood.set(crate::target::TargetBehavior::Healthy);
+            target.behavior.set(crate::target::TargetBehavior::Healthy);
             withdrawals::end_withdrawal(self, target);
             link.set_fault(crate::link::LinkFault::None);
             self.write_entry(&target.id, "ready");
@@ -233,18 +237,18 @@
     let settings_path = dir.join(format!("front-{vm_index}.json"));
     std::fs::write(&settings_path, settings.to_string()).expect("a writable settings file");
     Rc::new(Vm {
-        n: vm_index,
+        index: vm_index,
         promises: Rc::clone(promises),
-        callers: SocketAddr::from((ip(vm_index), front)),
-        ready: SocketAddr::from((ip(vm_index), ready)),
+        caller_address: SocketAddr::from((ip(vm_index), front)),
+        ready_address: SocketAddr::from((ip(vm_index), ready)),
         log: dir.join(format!("front-{vm_index}.log")),
         settings: settings_path,
         program: plan.program.clone(),
         child: RefCell::default(),
-        stopping: Cell::default(),
-        harmed: Cell::default(),
+        shutting_down: Cell::default(),
+        disrupted: Cell::default(),
         paused: Cell::default(),
-        ending: Cell::default(),
+        terminating: Cell::default(),
         store_link,
         seen_version: Cell::default(),
     })
@@ -264,17 +268,17 @@
             .kill_on_drop(true)
             .spawn();
         *self.child.borrow_mut() = Some(child.expect("the router program starts"));
-        self.stopping.set(false);
-        self.ending.set(false);
-        self.harmed.set(false);
+        self.shutting_down.set(false);
+        self.terminating.set(false);
+        self.disrupted.set(false);
         self.seen_version.set(0);
-        self.promises.withdrawals.on_vm_interrupted(self.n);
+        self.promises.withdrawals.on_vm_interrupted(self.index);
     }
 
     /// Sends a signal to the process, if it is running.
     pub fn signal(&self, signal: Signal) {
         if signal != Signal::HUP {
-            self.promises.withdrawals.on_vm_interrupted(self.n);
+            self.promises.withdrawals.on_vm_interrupted(self.index);
         }
         let child = self.child.borrow();
         let id = child.as_ref().and_then(Child::id);
@@ -318,7 +322,7 @@
 
     /// Starts the process again if it has exited or is about to, after it has exited.
     pub async fn ensure_running(&self) {
-        if self.ending.get() || !self.is_running() {
+        if self.terminating.get() || !self.is_running() {
             self.until_ended().await;
             self.start();
         }
@@ -327,7 +331,7 @@
     /// Waits until the router's readiness endpoint responds with status 200.
     async fn until_ready(&self) {
         loop {
-            let caller = Caller::connect(self.ready).await;
+            let caller = Caller::connect(self.ready_address).await;
             if let Some(mut caller) = caller
                 && caller.is_ok().await
             {
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -56,15 +56,15 @@
         let (is_leaving, backoff_s) = (rng.random_bool(0.5), rng.random_range(BACKOFF_S));
         let in_entry = rng.random_bool(0.3);
         let target = &world.targets[target_index].0;
-        if target.says.get() != Withdrawal::None {
+        if target.withdrawal.get() != Withdrawal::None {
             continue;
         }
         if !is_leaving {
-            target.says.set(Withdrawal::Backoff(backoff_s));
-        } else if target.born.get().elapsed() > INSTANCE_PROPAGATION_TIME
-            && world.promises.is_settled(INSTANCE_PROPAGATION_TIME)
+            target.withdrawal.set(Withdrawal::Backoff(backoff_s));
+        } else if target.started_at.get().elapsed() > INSTANCE_PROPAGATION_TIME
+            && world.promises.is_stable_for(INSTANCE_PROPAGATION_TIME)
         {
-            target.says.set(Withdrawal::Leaving);
+            target.withdrawal.set(Withdrawal::Leaving);
             if in_entry {
                 world.write_entry(&target.id, "draining");
             }
@@ -75,9 +75,9 @@
 
 /// Ends the announcement of a target. A target that was leaving is restarted.
 pub fn end_withdrawal(world: &TestEnv, target: &Target) {
-    match target.says.get() {
+    match target.withdrawal.get() {
         Withdrawal::Leaving => world.on_restart(&target.id),
-        _ => target.says.set(Withdrawal::None),
+        _ => target.withdrawal.set(Withdrawal::None),
     }
 }
 
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 struct BackoffRequest {
     /// When the target asked for it.
-    at: Instant,
+    requested_at: Instant,
     /// When the backoff ends.
     until: Instant,
     /// Number of calls that arrived from the router although it had to know of the backoff.
@@ -114,13 +114,13 @@
 #[derive(Debug, Default)]
 pub struct WithdrawalChecker {
     /// When each call was sent by its caller, by the call's id.
-    sent: RefCell<HashMap<String, Instant>>,
+    sent_at: RefCell<HashMap<String, Instant>>,
     /// Instance that last responded to a call with the announcement that it is leaving, by the call's id.
-    answered: RefCell<HashMap<String, InstanceId>>,
+    leaving_responses: RefCell<HashMap<String, InstanceId>>,
     /// When a router first forwarded the announcement that an instance is leaving.
-    leaving: RefCell<HashMap<(usize, InstanceId), Instant>>,
+    leaving_since: RefCell<HashMap<(usize, InstanceId), Instant>>,
     /// Backoffs that an instance asked a router for.
-    asked: RefCell<HashMap<(usize, InstanceId), Vec<BackoffRequest>>>,
+    backoffs: RefCell<HashMap<(usize, InstanceId), Vec<BackoffRequest>>>,
 }
 
 /// Returns the index of the router that a call was sent to, from the call's id (`KIND-ROUTER-CALLER-NUMBER`).
@@ -131,15 +131,17 @@
 impl WithdrawalChecker {
     /// Records that a caller sends a call.
     pub fn on_sent(&self, call: &str, at: Instant) {
-        self.sent.borrow_mut().insert(call.to_owned(), at);
+        self.sent_at.borrow_mut().insert(call.to_owned(), at);
     }
 
     /// Drops what a router had to remember.
     ///
     /// Called when it is started, killed, shut down, paused or resumed, as it may have forgotten it.
     pub fn on_vm_interrupted(&self, gateway: usize) {
-        self.leaving.borrow_mut().retain(|(g, _), _| *g != gateway);
-        self.asked.borrow_mut().retain(|(g, _), _| *g != gateway);
+        self.leaving_since
+            .borrow_mut()
+            .retain(|(g, _), _| *g != gateway);
+        self.backoffs.borrow_mut().retain(|(g, _), _| *g != gateway);
     }
 
     /// Records that a call arrives at a target.
@@ -148,8 +150,8 @@
     pub fn on_arrival(&self, call: &str, target: &Target) -> Option<String> {
         let gateway = vm_index(call)?;
         let instance = (gateway, target.instance());
-        let leaving = self.leaving.borrow().get(&instance).copied();
-        let sent = self.sent.borrow().get(call).copied();
+        let leaving = self.leaving_since.borrow().get(&instance).copied();
+        let sent = self.sent_at.borrow().get(call).copied();
         if let Some((since, sent)) = leaving.zip(sent)
             && sent > since + LEAVING_GRACE
         {
@@ -157,10 +159,13 @@
         }
         let is_link_faulty = !target.link_is_healthy_for(HEALTHY_LINK_TIME);
         let now = Instant::now();
-        let mut all_backoffs = self.asked.borrow_mut();
+        let mut all_backoffs = self.backoffs.borrow_mut();
         let backoffs = all_backoffs.get_mut(&instance)?;
         backoffs.retain(|b| now < b.until && !is_link_faulty);
-        for backoff in backoffs.iter_mut().filter(|b| now > b.at + BACKOFF_GRACE) {
+        for backoff in backoffs
+            .iter_mut()
+            .filter(|b| now > b.requested_at + BACKOFF_GRACE)
+        {
             backoff.arrivals += 1;
         }
         let max_arrivals = backoffs.iter().map(|b| b.arrivals).max()?;
@@ -177,20 +182,20 @@
         let Some(gateway) = vm_index(call) else {
             return;
         };
-        match target.says.get() {
+        match target.withdrawal.get() {
             Withdrawal::None => {}
             Withdrawal::Leaving => {
-                let mut answered = self.answered.borrow_mut();
+                let mut answered = self.leaving_responses.borrow_mut();
                 answered.insert(call.to_owned(), target.instance());
             }
             Withdrawal::Backoff(seconds) if target.link_is_healthy_for(HEALTHY_LINK_TIME) => {
                 let now = Instant::now();
                 let backoff = BackoffRequest {
-                    at: now,
+                    requested_at: now,
                     until: now + Duration::from_secs(seconds),
                     arrivals: 0,
                 };
-                let mut all_backoffs = self.asked.borrow_mut();
+                let mut all_backoffs = self.backoffs.borrow_mut();
                 let backoffs = all_backoffs
                     .entry((gateway, target.instance()))
                     .or_default();
@@ -202,11 +207,11 @@
 
     /// Records that a caller received a target's response to a call that was sent to no other target.
     pub fn on_response_forwarded(&self, call: &str) {
-        let answered = self.answered.borrow_mut().remove(call);
+        let answered = self.leaving_responses.borrow_mut().remove(call);
         let Some((gateway, instance)) = vm_index(call).zip(answered) else {
             return;
         };
-        let mut leaving = self.leaving.borrow_mut();
+        let mut leaving = self.leaving_since.borrow_mut();
         leaving
             .entry((gateway, instance))
             .or_insert_with(Instant::now);
