--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -65,7 +65,7 @@
 async fn restart_after_crashes(world: &TestEnv, n: usize) {
     let (target, link) = &world.targets[n];
     loop {
-        target.ending.notified().await;
+        target.crashed.notified().await;
         link.close();
         tokio::time::sleep(RESTART_DELAY).await;
         while link.reopen().await.is_err() {
@@ -87,7 +87,7 @@
 #[derive(Debug, Default)]
 pub struct CrashCounts {
     /// Number of targets that crashed while they ran it.
-    pub ended: Cell<u32>,
+    pub crashed: Cell<u32>,
     /// Number of times that it reached a target after the time by which all routers have to know of the third
     /// crash.
     pub late_arrivals: Cell<u32>,
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -37,7 +37,7 @@
     pub address: SocketAddr,
     fault: Cell<LinkFault>,
     /// When the last fault ended or was replaced by another one.
-    harmed: Cell<Option<Instant>>,
+    last_fault_end: Cell<Option<Instant>>,
     /// Address of the server behind the link.
     upstream_address: SocketAddr,
     /// The task that accepts connections, if the link is open.
@@ -59,7 +59,7 @@
         let link = Rc::new(Self {
             address: listener.local_addr()?,
             fault: Cell::default(),
-            harmed: Cell::default(),
+            last_fault_end: Cell::default(),
             upstream_address: upstream,
             accept_task: RefCell::default(),
             closed: Notify::new(),
@@ -86,7 +86,7 @@
     /// Sets the fault that is in force; `LinkFault::None` ends it.
     pub fn set_fault(&self, fault: LinkFault) {
         if self.fault.replace(fault) != LinkFault::None {
-            self.harmed.set(Some(Instant::now()));
+            self.last_fault_end.set(Some(Instant::now()));
         }
     }
 
@@ -97,7 +97,10 @@
 
     /// Returns whether the link has had no fault for at least this time.
     pub fn is_healthy_for(&self, duration: Duration) -> bool {
-        let had_recent_fault = self.harmed.get().is_some_and(|at| at.elapsed() < duration);
+        let had_recent_fault = self
+            .last_fault_end
+            .get()
+            .is_some_and(|at| at.elapsed() < duration);
         self.fault.get() == LinkFault::None && !had_recent_fault
     }
 
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -146,9 +146,9 @@
     /// enough.
     pub fn on_crash(&self) {
         let counts = &self.crashes;
-        counts.ended.set(counts.ended.get() + 1);
+        counts.crashed.set(counts.crashed.get() + 1);
         let can_know =
-            counts.ended.get() > MAX_CRASHES && self.is_stable_for(CRASH_PROPAGATION_TIME);
+            counts.crashed.get() > MAX_CRASHES && self.is_stable_for(CRASH_PROPAGATION_TIME);
         if !can_know {
             return;
         }
@@ -156,7 +156,7 @@
         if counts.late_arrivals.get() > MAX_LATE_ARRIVALS {
             let description = format!(
                 "{} targets crashed, {} after routers had to know",
-                counts.ended.get(),
+                counts.crashed.get(),
                 counts.late_arrivals.get()
             );
             self.record_violation(Promise::HeldBack, description);
@@ -273,7 +273,7 @@
         Verdict {
             asked: self.asked.get(),
             served: self.served.get(),
-            ended: self.crashes.ended.get(),
+            ended: self.crashes.crashed.get(),
             broken: self.broken.borrow().clone(),
         }
     }
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -53,7 +53,7 @@
     /// Link through which routers reach it.
     pub link: OnceCell<Rc<Link>>,
     /// Notified when it runs the request that crashes it.
-    pub ending: Notify,
+    pub crashed: Notify,
     promises: Rc<PromiseChecker>,
 }
 
@@ -72,7 +72,7 @@
             restarts: Cell::default(),
             started_at: Cell::new(Instant::now()),
             link: OnceCell::new(),
-            ending: Notify::new(),
+            crashed: Notify::new(),
             promises: Rc::clone(promises),
         });
         let handler_target = Rc::clone(&target);
@@ -113,7 +113,7 @@
         let body = body.to_bytes();
         if body == crashes::CRASH_BODY {
             self.promises.on_crash();
-            self.ending.notify_one();
+            self.crashed.notify_one();
             return std::future::pending().await;
         }
         self.promises.on_arrival(&call, &self);
