--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     promises::{CallOutcome, Promise, PromiseChecker},
-    vm::{API_KEYS, STARTUP_TIMEOUT, TestEnv, Vm},
+    vm::{API_KEYS, LIFECYCLE_TIMEOUT, TestEnv, Vm},
 };
 
 /// Number of callers of each router.
@@ -158,7 +158,7 @@
             },
         };
         let stopping = vm.shutting_down.get();
-        let served_version = vm.seen_version.get();
+        let served_version = vm.applied_version.get();
         let sent_at = Instant::now();
         promises.on_sent(&id, sent_at);
         let outcome = caller
@@ -167,10 +167,10 @@
         promises.on_end(&id, &outcome, sent_at, uses_second_key);
         if kind == version_kind
             && matches!(outcome, CallOutcome::Response(200, ..))
-            && vm.seen_version.get() >= served_version
+            && vm.applied_version.get() >= served_version
         {
-            vm.seen_version
-                .set(vm.seen_version.get().max(requested_version));
+            vm.applied_version
+                .set(vm.applied_version.get().max(requested_version));
             if requested_version < served_version {
                 promises.record_violation(
                     Promise::ConfigNeverBack,
@@ -192,11 +192,11 @@
     /// Waits until enough calls are served after the faults, and records a violation if that takes too long.
     pub async fn until_recovered(&self) {
         let served_before = self.promises.served();
-        let deadline = Instant::now() + STARTUP_TIMEOUT;
+        let deadline = Instant::now() + LIFECYCLE_TIMEOUT;
         while self.promises.served() < served_before + MIN_SERVED_CALLS {
             if Instant::now() > deadline {
                 let served = self.promises.served() - served_before;
-                let description = format!("only {served} calls served in {STARTUP_TIMEOUT:?}");
+                let description = format!("only {served} calls served in {LIFECYCLE_TIMEOUT:?}");
                 self.promises
                     .record_violation(Promise::Recovery, description);
                 return;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone)]
 struct RunOptions {
     seed: u64,
-    faults_for: Duration,
+    fault_duration: Duration,
     vms: usize,
     program: PathBuf,
     entries: bool,
@@ -81,7 +81,7 @@
     let default_program = default_program.map(|p| p.with_file_name("scalefordd"));
     let plan = RunOptions {
         seed: flags.seed.unwrap_or(1),
-        faults_for: Duration::from_secs(flags.seconds.unwrap_or(10)),
+        fault_duration: Duration::from_secs(flags.seconds.unwrap_or(10)),
         vms: flags.vms.unwrap_or(4).clamp(1, MAX_VMS),
         entries: flags.entries,
         crashes: flags.crashes,
@@ -107,7 +107,7 @@
         true => println!("{}", verdict.json(&plan)),
         false => println!("{}", verdict.text(&plan)),
     }
-    match verdict.is_kept() {
+    match verdict.all_kept() {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
@@ -126,20 +126,20 @@
     let crash_tasks = plan.crashes.then(|| crashes::start(&world, plan.seed));
     let entries = async {
         if plan.entries {
-            entries::inject(&world, plan.seed, plan.faults_for).await;
+            entries::inject(&world, plan.seed, plan.fault_duration).await;
         }
     };
     let withdrawals = async {
         if plan.withdrawals {
-            withdrawals::inject(&world, plan.seed, plan.faults_for).await;
+            withdrawals::inject(&world, plan.seed, plan.fault_duration).await;
         }
     };
     let set_backs = async {
         if plan.set_backs {
-            store_reverts::inject(&world, plan.seed, plan.faults_for).await;
+            store_reverts::inject(&world, plan.seed, plan.fault_duration).await;
         }
     };
-    let faults = faults::inject(&world, &mut rng, plan.faults_for);
+    let faults = faults::inject(&world, &mut rng, plan.fault_duration);
     tokio::join!(faults, entries, withdrawals, set_backs);
     world.clear_faults().await;
     caller_tasks.until_recovered().await;
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -13,7 +13,7 @@
     RunOptions,
     budget::RetryBudget,
     crashes,
-    target::{LAST_EVENT, Target, event, expected_answer},
+    target::{LAST_EVENT, Target, event, expected_body},
     withdrawals,
 };
 
@@ -253,7 +253,7 @@
         self.served.set(self.served.get() + 1);
         let expected = match call.starts_with("stream") {
             true => (1..=LAST_EVENT).map(|n| event(call, n)).collect::<String>(),
-            false => expected_answer(call),
+            false => expected_body(call),
         };
         let is_prefix = expected.as_bytes().starts_with(body);
         let is_equal = expected.as_bytes() == body;
@@ -294,7 +294,7 @@
 
 impl Verdict {
     /// Returns whether no guarantee was violated.
-    pub fn is_kept(&self) -> bool {
+    pub fn all_kept(&self) -> bool {
         self.broken.is_empty()
     }
 
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -145,7 +145,7 @@
             }
             _ => return res,
         }
-        self.promises.withdrawals.on_answer(&call, &self);
+        self.promises.withdrawals.on_announcement(&call, &self);
         res
     }
 
@@ -165,13 +165,13 @@
                 Response::new(events(headers, call, LAST_EVENT / 2, true))
             }
             _ if is_stream => Response::new(events(headers, call, LAST_EVENT, false)),
-            _ => Response::new(whole(expected_answer(call))),
+            _ => Response::new(whole(expected_body(call))),
         }
     }
 }
 
 /// Returns the expected body of the response to a plain call.
-pub fn expected_answer(call: &str) -> String {
+pub fn expected_body(call: &str) -> String {
     format!("answer to {call}")
 }
 
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -28,7 +28,7 @@
 const TARGET_COUNT: usize = 4;
 
 /// Maximum time for a start, a graceful shutdown or the recovery, even on a busy machine.
-pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
+pub const LIFECYCLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A router process.
 pub struct Vm {
@@ -40,9 +40,9 @@
     /// Address of its readiness endpoint.
     ready_address: SocketAddr,
     /// Path of its settings file.
-    settings: PathBuf,
+    settings_path: PathBuf,
     /// Path of its log file.
-    log: PathBuf,
+    log_path: PathBuf,
     /// Path of the router program.
     program: PathBuf,
     child: RefCell<Option<Child>>,
@@ -55,7 +55,7 @@
     /// Its link to the store.
     pub store_link: Rc<Link>,
     /// Newest configuration version that this process was observed to have in force.
-    pub seen_version: Cell<u64>,
+    pub applied_version: Cell<u64>,
     /// Whether it was killed or paused since it was last started or asked to shut down, or was paused when
     /// asked.
     pub disrupted: Cell<bool>,
@@ -118,7 +118,7 @@
     /// Panics if one of them takes too long.
     pub async fn until_ready(&self) {
         for vm in &self.vms {
-            let ready = tokio::time::timeout(STARTUP_TIMEOUT, vm.until_ready()).await;
+            let ready = tokio::time::timeout(LIFECYCLE_TIMEOUT, vm.until_ready()).await;
             assert!(
                 ready.is_ok(),
                 "router at {} is not ready",
@@ -192,9 +192,9 @@
             vm.signal(Signal::TERM);
         }
         for vm in &self.vms {
-            vm.until_ended().await;
+            vm.until_exited().await;
         }
-        match self.promises.verdict().is_kept() {
+        match self.promises.verdict().all_kept() {
             // An error is ignored: leftover logs of a successful run do no harm.
             true => drop(std::fs::remove_dir_all(&self.dir)),
             false => eprintln!("the routers' logs are in {}", self.dir.display()),
@@ -241,8 +241,8 @@
         promises: Rc::clone(promises),
         caller_address: SocketAddr::from((ip(vm_index), front)),
         ready_address: SocketAddr::from((ip(vm_index), ready)),
-        log: dir.join(format!("front-{vm_index}.log")),
-        settings: settings_path,
+        log_path: dir.join(format!("front-{vm_index}.log")),
+        settings_path: settings_path,
         program: plan.program.clone(),
         child: RefCell::default(),
         shutting_down: Cell::default(),
@@ -250,7 +250,7 @@
         paused: Cell::default(),
         terminating: Cell::default(),
         store_link,
-        seen_version: Cell::default(),
+        applied_version: Cell::default(),
     })
 }
 
@@ -260,9 +260,9 @@
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(&self.log);
+            .open(&self.log_path);
         let child = Command::new(&self.program)
-            .env("SCALEFORD_CONFIG", &self.settings)
+            .env("SCALEFORD_CONFIG", &self.settings_path)
             .stdin(Stdio::null())
             .stdout(log.expect("a writable log file"))
             .kill_on_drop(true)
@@ -271,7 +271,7 @@
         self.shutting_down.set(false);
         self.terminating.set(false);
         self.disrupted.set(false);
-        self.seen_version.set(0);
+        self.applied_version.set(0);
         self.promises.withdrawals.on_vm_interrupted(self.index);
     }
 
@@ -306,11 +306,11 @@
     /// Waits until the process exits, and kills it if that takes too long.
     ///
     /// Returns whether it exited without being killed.
-    pub async fn until_ended(&self) -> bool {
+    pub async fn until_exited(&self) -> bool {
         let Some(mut child) = self.child.borrow_mut().take() else {
             return true;
         };
-        let has_exited = tokio::time::timeout(STARTUP_TIMEOUT, child.wait())
+        let has_exited = tokio::time::timeout(LIFECYCLE_TIMEOUT, child.wait())
             .await
             .is_ok();
         if !has_exited {
@@ -323,7 +323,7 @@
     /// Starts the process again if it has exited or is about to, after it has exited.
     pub async fn ensure_running(&self) {
         if self.terminating.get() || !self.is_running() {
-            self.until_ended().await;
+            self.until_exited().await;
             self.start();
         }
     }
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -178,7 +178,7 @@
     }
 
     /// Records that a target responds to a call with an announcement about itself.
-    pub fn on_answer(&self, call: &str, target: &Target) {
+    pub fn on_announcement(&self, call: &str, target: &Target) {
         let Some(gateway) = vm_index(call) else {
             return;
         };
