--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -104,19 +104,19 @@
 }
 
 /// Starts the callers of each router.
-pub fn start(world: &TestEnv, seed: u64) -> CallerTasks {
+pub fn start(env: &TestEnv, seed: u64) -> CallerTasks {
     let stop = Rc::new(Cell::new(false));
     let mut tasks = Vec::new();
-    for (vm_index, vm) in world.vms.iter().enumerate() {
+    for (vm_index, vm) in env.vms.iter().enumerate() {
         for caller_index in 0..CALLERS_PER_VM {
             let rng =
                 Pcg64::seed_from_u64(seed ^ (vm_index * CALLERS_PER_VM + caller_index + 1) as u64);
             let name = format!("{vm_index}-{caller_index}");
             let task = run_caller(
                 Rc::clone(vm),
-                Rc::clone(&world.promises),
+                Rc::clone(&env.promises),
                 Rc::clone(&stop),
-                world.version(),
+                env.version(),
                 rng,
                 name,
             );
@@ -126,7 +126,7 @@
     CallerTasks {
         tasks,
         stop_requested: stop,
-        promises: Rc::clone(&world.promises),
+        promises: Rc::clone(&env.promises),
     }
 }
 
@@ -157,7 +157,7 @@
                 None => continue,
             },
         };
-        let stopping = vm.shutting_down.get();
+        let is_shutting_down = vm.shutting_down.get();
         let served_version = vm.applied_version.get();
         let sent_at = Instant::now();
         promises.on_sent(&id, sent_at);
@@ -179,7 +179,7 @@
             }
         }
         let is_truncated = matches!(outcome, CallOutcome::Response(200, _, false));
-        if is_truncated && stopping && !vm.disrupted.get() && !vm.is_running() {
+        if is_truncated && is_shutting_down && !vm.disrupted.get() && !vm.is_running() {
             promises.record_violation(Promise::StopCutsNothing, id);
         }
         if outcome != CallOutcome::NoResponse {
--- a/soak/src/crashes.rs
+++ b/soak/src/crashes.rs
@@ -35,19 +35,19 @@
 }
 
 /// Starts to send the request repeatedly, also after the other faults have ended.
-pub fn start(world: &Rc<TestEnv>, seed: u64) -> CrashTasks {
-    let restarts = (0..world.targets.len()).map(|n| {
-        let world = Rc::clone(world);
-        tokio::task::spawn_local(async move { restart_after_crashes(&world, n).await })
+pub fn start(env: &Rc<TestEnv>, seed: u64) -> CrashTasks {
+    let restarts = (0..env.targets.len()).map(|target_index| {
+        let env = Rc::clone(env);
+        tokio::task::spawn_local(async move { restart_after_crashes(&env, target_index).await })
     });
     let restarts = restarts.collect();
-    let world = Rc::clone(world);
+    let env = Rc::clone(env);
     let caller = tokio::task::spawn_local(async move {
         let mut rng = Pcg64::seed_from_u64(seed ^ SEED_MASK);
         for n in 0_u64.. {
             let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
             tokio::time::sleep(pause).await;
-            let Some(vm) = world.vms.choose(&mut rng) else {
+            let Some(vm) = env.vms.choose(&mut rng) else {
                 return;
             };
             if let Some(mut caller) = Caller::connect(vm.caller_address).await {
@@ -62,8 +62,8 @@
 }
 
 /// Closes a target's link whenever the request crashes the target, and restarts it under the same name.
-async fn restart_after_crashes(world: &TestEnv, n: usize) {
-    let (target, link) = &world.targets[n];
+async fn restart_after_crashes(env: &TestEnv, target_index: usize) {
+    let (target, link) = &env.targets[target_index];
     loop {
         target.crashed.notified().await;
         link.close();
@@ -71,7 +71,7 @@
         while link.reopen().await.is_err() {
             tokio::time::sleep(RESTART_DELAY / 10).await;
         }
-        world.on_restart(&target.id);
+        env.on_restart(&target.id);
     }
 }
 
--- a/soak/src/entries.rs
+++ b/soak/src/entries.rs
@@ -29,33 +29,29 @@
 ];
 
 /// Writes random entries for the given time.
-pub async fn inject(world: &TestEnv, seed: u64, duration: Duration) {
+pub async fn inject(env: &TestEnv, seed: u64, duration: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), RNG_STREAM);
     let end = Instant::now() + duration;
     while Instant::now() < end {
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         tokio::time::sleep(pause).await;
-        write_random_entry(world, &mut rng);
+        write_random_entry(env, &mut rng);
     }
-    world.store.remove(EVACUATION_KEY);
+    env.store.remove(EVACUATION_KEY);
 }
 
 /// Restarts a target, or writes or removes a random entry.
-fn write_random_entry(world: &TestEnv, rng: &mut Pcg64) {
+fn write_random_entry(env: &TestEnv, rng: &mut Pcg64) {
     let invalid_entry = UNUSABLE_ENTRIES.choose(rng).copied().unwrap_or_default();
     match rng.random_range(0..6) {
         0 | 1 => {
-            if let Some((target, _)) = world.targets.choose(rng) {
-                world.on_restart(&target.id);
+            if let Some((target, _)) = env.targets.choose(rng) {
+                env.on_restart(&target.id);
             }
         }
-        2 => drop(
-            world
-                .store
-                .put("servers/i-foreign", invalid_entry.as_bytes()),
-        ),
-        3 => world.store.put_garbled("servers/i-garbled"),
-        4 => drop(world.store.put(EVACUATION_KEY, b"{}")),
-        _ => world.store.remove(EVACUATION_KEY),
+        2 => drop(env.store.put("servers/i-foreign", invalid_entry.as_bytes())),
+        3 => env.store.put_garbled("servers/i-garbled"),
+        4 => drop(env.store.put(EVACUATION_KEY, b"{}")),
+        _ => env.store.remove(EVACUATION_KEY),
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -21,7 +21,7 @@
 const DELAY_MS: std::ops::Range<u64> = 20..400;
 
 /// Injects faults for the given time. Faults may still be in force when it returns.
-pub async fn inject(world: &TestEnv, rng: &mut Pcg64, duration: Duration) {
+pub async fn inject(env: &TestEnv, rng: &mut Pcg64, duration: Duration) {
     let end = Instant::now() + duration;
     let may_revoke = rng.random_bool(0.5);
     let mut revoked = false;
@@ -29,45 +29,45 @@
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         tokio::time::sleep(pause).await;
         match rng.random_range(0..14) {
-            0 | 1 => kill(world, rng).await,
-            2 => shut_down(world, rng).await,
-            3 => pause_vm(world, rng),
-            4 => resume_vms(world),
-            5 => reload(world, rng),
-            6 | 7 => change_target(world, rng),
-            8 | 9 => change_link(world, rng),
-            10 => change_store(world, rng),
-            11 => change_entry(world, rng),
+            0 | 1 => kill(env, rng).await,
+            2 => shut_down(env, rng).await,
+            3 => pause_vm(env, rng),
+            4 => resume_vms(env),
+            5 => reload(env, rng),
+            6 | 7 => change_target(env, rng),
+            8 | 9 => change_link(env, rng),
+            10 => change_store(env, rng),
+            11 => change_entry(env, rng),
             12 if may_revoke && !revoked => {
                 revoked = true;
-                world.write_config(&API_KEYS[..1]);
-                world.promises.on_revoked();
+                env.write_config(&API_KEYS[..1]);
+                env.promises.on_revoked();
             }
-            _ if revoked => world.write_config(&API_KEYS[..1]),
-            _ => world.write_config(&API_KEYS),
+            _ if revoked => env.write_config(&API_KEYS[..1]),
+            _ => env.write_config(&API_KEYS),
         }
-        world.promises.on_stability_change(is_stable(world));
+        env.promises.on_stability_change(is_stable(env));
     }
 }
 
 /// Returns whether all links to the store and the store itself are without fault and no router is paused.
-fn is_stable(world: &TestEnv) -> bool {
-    let is_store_reachable = world
+fn is_stable(env: &TestEnv) -> bool {
+    let is_store_reachable = env
         .vms
         .iter()
         .all(|vm| vm.store_link.fault() == LinkFault::None);
-    let is_store_healthy = world.store.fault() == StoreFault::default();
-    is_store_reachable && is_store_healthy && !world.vms.iter().any(|vm| vm.paused.get())
+    let is_store_healthy = env.store.fault() == StoreFault::default();
+    is_store_reachable && is_store_healthy && !env.vms.iter().any(|vm| vm.paused.get())
 }
 
 /// Starts each router that is not running, then kills a random one.
-async fn kill(world: &TestEnv, rng: &mut Pcg64) {
-    for vm in &world.vms {
+async fn kill(env: &TestEnv, rng: &mut Pcg64) {
+    for vm in &env.vms {
         if !vm.is_running() {
             vm.ensure_running().await;
         }
     }
-    if let Some(vm) = world.vms.choose(rng) {
+    if let Some(vm) = env.vms.choose(rng) {
         vm.disrupted.set(true);
         vm.terminating.set(true);
         vm.signal(Signal::KILL);
@@ -75,8 +75,8 @@
 }
 
 /// Asks a random router to shut down gracefully. A later fault starts it again.
-async fn shut_down(world: &TestEnv, rng: &mut Pcg64) {
-    if let Some(vm) = world.vms.choose(rng)
+async fn shut_down(env: &TestEnv, rng: &mut Pcg64) {
+    if let Some(vm) = env.vms.choose(rng)
         && vm.is_running()
     {
         vm.disrupted.set(vm.paused.get());
@@ -86,25 +86,25 @@
     }
 }
 
-fn pause_vm(world: &TestEnv, rng: &mut Pcg64) {
-    if let Some(vm) = world.vms.choose(rng) {
+fn pause_vm(env: &TestEnv, rng: &mut Pcg64) {
+    if let Some(vm) = env.vms.choose(rng) {
         vm.disrupted.set(true);
         vm.paused.set(true);
         vm.signal(Signal::STOP);
     }
 }
 
-fn resume_vms(world: &TestEnv) {
-    world.vms.iter().for_each(|vm| vm.resume());
+fn resume_vms(env: &TestEnv) {
+    env.vms.iter().for_each(|vm| vm.resume());
 }
 
-fn reload(world: &TestEnv, rng: &mut Pcg64) {
-    if let Some(vm) = world.vms.choose(rng) {
+fn reload(env: &TestEnv, rng: &mut Pcg64) {
+    if let Some(vm) = env.vms.choose(rng) {
         vm.signal(Signal::HUP);
     }
 }
 
-fn change_target(world: &TestEnv, rng: &mut Pcg64) {
+fn change_target(env: &TestEnv, rng: &mut Pcg64) {
     let behaviors = [
         TargetBehavior::Healthy,
         TargetBehavior::Healthy,
@@ -113,15 +113,14 @@
         TargetBehavior::Truncating,
         TargetBehavior::Hanging,
     ];
-    if let (Some((target, _)), Some(behavior)) = (world.targets.choose(rng), behaviors.choose(rng))
-    {
+    if let (Some((target, _)), Some(behavior)) = (env.targets.choose(rng), behaviors.choose(rng)) {
         target.behavior.set(*behavior);
     }
 }
 
-fn change_link(world: &TestEnv, rng: &mut Pcg64) {
-    let to_targets = world.targets.iter().map(|(_, link)| link);
-    let to_store = world.vms.iter().map(|vm| &vm.store_link);
+fn change_link(env: &TestEnv, rng: &mut Pcg64) {
+    let to_targets = env.targets.iter().map(|(_, link)| link);
+    let to_store = env.vms.iter().map(|vm| &vm.store_link);
     let links: Vec<_> = to_targets.chain(to_store).collect();
     if let Some(link) = links.choose(rng) {
         link.set_fault(random_link_fault(rng));
@@ -144,10 +143,10 @@
 
 /// Makes the store drop its history, reject all calls, break connections, respond slowly or lose the
 /// responses to writes, or ends its fault.
-fn change_store(world: &TestEnv, rng: &mut Pcg64) {
+fn change_store(env: &TestEnv, rng: &mut Pcg64) {
     let healthy = StoreFault::default();
     let fault = match rng.random_range(0..8) {
-        0 => return world.store.compact(),
+        0 => return env.store.compact(),
         1 => StoreFault {
             busy: true,
             ..healthy
@@ -166,11 +165,11 @@
         },
         _ => healthy,
     };
-    world.store.set_fault(fault);
+    env.store.set_fault(fault);
 }
 
 /// Marks the first target as draining, or as ready again.
-fn change_entry(world: &TestEnv, rng: &mut Pcg64) {
+fn change_entry(env: &TestEnv, rng: &mut Pcg64) {
     let state = ["ready", "draining"][rng.random_range(0..2)];
-    world.write_entry(&world.targets[0].0.id, state);
+    env.write_entry(&env.targets[0].0.id, state);
 }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -70,8 +70,8 @@
 
     /// Closes all connections and refuses new ones, as if the server's process had exited.
     pub fn close(&self) {
-        if let Some(accepting) = self.accept_task.borrow_mut().take() {
-            accepting.abort();
+        if let Some(accept_task) = self.accept_task.borrow_mut().take() {
+            accept_task.abort();
         }
         self.closed.notify_waiters();
     }
@@ -106,7 +106,7 @@
 
     fn spawn_accept_loop(self: &Rc<Self>, listener: TcpListener) {
         let link = Rc::clone(self);
-        let accepting = tokio::task::spawn_local(async move {
+        let accept_task = tokio::task::spawn_local(async move {
             while let Ok((client, _)) = listener.accept().await {
                 if link.fault.get() == LinkFault::Reset {
                     reset_on_close(&client);
@@ -116,7 +116,7 @@
                 tokio::task::spawn_local(proxy_connection(Rc::clone(&link), client, upstream));
             }
         });
-        *self.accept_task.borrow_mut() = Some(accepting.abort_handle());
+        *self.accept_task.borrow_mut() = Some(accept_task.abort_handle());
     }
 }
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -79,7 +79,7 @@
     };
     let default_program = std::env::current_exe().ok();
     let default_program = default_program.map(|p| p.with_file_name("scalefordd"));
-    let plan = RunOptions {
+    let options = RunOptions {
         seed: flags.seed.unwrap_or(1),
         fault_duration: Duration::from_secs(flags.seconds.unwrap_or(10)),
         vms: flags.vms.unwrap_or(4).clamp(1, MAX_VMS),
@@ -89,23 +89,23 @@
         set_backs: flags.set_backs,
         program: flags.program.or(default_program).unwrap_or_default(),
     };
-    if !plan.program.is_file() {
-        eprintln!("no router at {}: build it first", plan.program.display());
+    if !options.program.is_file() {
+        eprintln!("no router at {}: build it first", options.program.display());
         return ExitCode::from(2);
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let verdict = match runtime {
-        Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, run(&plan)),
+        Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, run(&options)),
         Err(e) => {
             eprintln!("{e}");
             return ExitCode::from(2);
         }
     };
     match flags.json {
-        true => println!("{}", verdict.json(&plan)),
-        false => println!("{}", verdict.text(&plan)),
+        true => println!("{}", verdict.json(&options)),
+        false => println!("{}", verdict.text(&options)),
     }
     match verdict.all_kept() {
         true => ExitCode::SUCCESS,
@@ -117,34 +117,34 @@
 /// than the time within which routers have to know about the crashes.
 const CRASHES_AFTER_FAULTS: Duration = Duration::from_secs(6);
 
-async fn run(plan: &RunOptions) -> promises::Verdict {
-    let mut rng = Pcg64::seed_from_u64(plan.seed);
-    let world = Rc::new(vm::TestEnv::start(plan).await);
-    let promises = Rc::clone(&world.promises);
-    world.until_ready().await;
-    let caller_tasks = callers::start(&world, plan.seed);
-    let crash_tasks = plan.crashes.then(|| crashes::start(&world, plan.seed));
+async fn run(options: &RunOptions) -> promises::Verdict {
+    let mut rng = Pcg64::seed_from_u64(options.seed);
+    let env = Rc::new(vm::TestEnv::start(options).await);
+    let promises = Rc::clone(&env.promises);
+    env.until_ready().await;
+    let caller_tasks = callers::start(&env, options.seed);
+    let crash_tasks = options.crashes.then(|| crashes::start(&env, options.seed));
     let entries = async {
-        if plan.entries {
-            entries::inject(&world, plan.seed, plan.fault_duration).await;
+        if options.entries {
+            entries::inject(&env, options.seed, options.fault_duration).await;
         }
     };
     let withdrawals = async {
-        if plan.withdrawals {
-            withdrawals::inject(&world, plan.seed, plan.fault_duration).await;
+        if options.withdrawals {
+            withdrawals::inject(&env, options.seed, options.fault_duration).await;
         }
     };
-    let set_backs = async {
-        if plan.set_backs {
-            store_reverts::inject(&world, plan.seed, plan.fault_duration).await;
+    let reverts = async {
+        if options.set_backs {
+            store_reverts::inject(&env, options.seed, options.fault_duration).await;
         }
     };
-    let faults = faults::inject(&world, &mut rng, plan.fault_duration);
-    tokio::join!(faults, entries, withdrawals, set_backs);
-    world.clear_faults().await;
+    let faults = faults::inject(&env, &mut rng, options.fault_duration);
+    tokio::join!(faults, entries, withdrawals, reverts);
+    env.clear_faults().await;
     caller_tasks.until_recovered().await;
-    if plan.set_backs {
-        store_reverts::check_config_after_revert(&world).await;
+    if options.set_backs {
+        store_reverts::check_config_after_revert(&env).await;
     }
     if let Some(crash_tasks) = crash_tasks {
         promises.on_stability_change(true);
@@ -152,6 +152,6 @@
         crash_tasks.stop();
     }
     caller_tasks.stop().await;
-    world.stop().await;
+    env.stop().await;
     promises.verdict()
 }
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -123,9 +123,9 @@
 
     /// Records whether all routers can reach the store and none is paused. While that is not so, routers need
     /// not know that a target is leaving.
-    pub fn on_stability_change(&self, settled: bool) {
+    pub fn on_stability_change(&self, is_stable: bool) {
         let at = self.stable_since.get().unwrap_or_else(Instant::now);
-        self.stable_since.set(settled.then_some(at));
+        self.stable_since.set(is_stable.then_some(at));
     }
 
     /// Returns whether all routers have been able to reach the store, with none paused, for more than this
@@ -299,8 +299,8 @@
     }
 
     /// Formats the verdict as text for people.
-    pub fn text(&self, plan: &RunOptions) -> String {
-        let RunOptions { seed, vms, .. } = plan;
+    pub fn text(&self, options: &RunOptions) -> String {
+        let RunOptions { seed, vms, .. } = options;
         let mut lines = vec![format!(
             "seed {seed}, {vms} vms: {} calls, {} served, {} targets crashed, {} promises broken",
             self.asked,
@@ -317,13 +317,13 @@
     }
 
     /// Formats the verdict as JSON for programs.
-    pub fn json(&self, plan: &RunOptions) -> String {
+    pub fn json(&self, options: &RunOptions) -> String {
         let broken: Vec<String> = self
             .broken
             .iter()
             .map(|(p, h)| format!("{p:?}: {h}"))
             .collect();
-        serde_json::json!({"seed": plan.seed, "vms": plan.vms, "asked": self.asked,
+        serde_json::json!({"seed": options.seed, "vms": options.vms, "asked": self.asked,
             "served": self.served, "ended": self.ended, "broken": broken})
         .to_string()
     }
--- a/soak/src/store_reverts.rs
+++ b/soak/src/store_reverts.rs
@@ -31,23 +31,23 @@
 const RNG_STREAM: u128 = 0x7365_7420_6261_636b;
 
 /// Reverts the store repeatedly for the given time.
-pub async fn inject(world: &TestEnv, seed: u64, duration: Duration) {
+pub async fn inject(env: &TestEnv, seed: u64, duration: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), RNG_STREAM);
     let end = Instant::now() + duration;
     while Instant::now() < end {
-        let copy = world.store.backup();
+        let copy = env.store.backup();
         sleep_random_ms(&mut rng, COPY_AGE_MS).await;
-        world.store.set_fault(StoreFault {
+        env.store.set_fault(StoreFault {
             down: true,
             ..StoreFault::default()
         });
         sleep_random_ms(&mut rng, OUTAGE_MS).await;
-        let lost = world.store.backup();
-        world.store.set_back(copy.clone());
-        world.store.set_fault(StoreFault::default());
-        world.promises.on_stability_change(false);
+        let lost = env.store.backup();
+        env.store.set_back(copy.clone());
+        env.store.set_fault(StoreFault::default());
+        env.promises.on_stability_change(false);
         sleep_random_ms(&mut rng, REWRITE_DELAY_MS).await;
-        rewrite_lost_entries(world, &lost, &copy);
+        rewrite_lost_entries(env, &lost, &copy);
     }
 }
 
@@ -60,29 +60,28 @@
 
 /// Reverts the store once more after all faults have ended. A configuration that is written after that has to
 /// be in force at all routers.
-pub async fn check_config_after_revert(world: &TestEnv) {
-    let copy = world.store.backup();
+pub async fn check_config_after_revert(env: &TestEnv) {
+    let copy = env.store.backup();
     for n in 0..LOST_WRITES {
-        world.store.put(&format!("other/{n}"), b"lost");
+        env.store.put(&format!("other/{n}"), b"lost");
     }
-    write_and_check_config(world).await;
-    world.store.set_back(copy);
-    write_and_check_config(world).await;
+    write_and_check_config(env).await;
+    env.store.set_back(copy);
+    write_and_check_config(env).await;
 }
 
 /// Writes a new configuration and checks that it is in force at all routers in time.
-async fn write_and_check_config(world: &TestEnv) {
-    world.write_config(&API_KEYS[..1]);
-    let version = world.version().get();
+async fn write_and_check_config(env: &TestEnv) {
+    env.write_config(&API_KEYS[..1]);
+    let version = env.version().get();
     let deadline = Instant::now() + CONFIG_PROPAGATION_TIME;
-    for (vm_index, vm) in world.vms.iter().enumerate() {
+    for (vm_index, vm) in env.vms.iter().enumerate() {
         if tokio::time::timeout_at(deadline, until_served(vm, vm_index, version))
             .await
             .is_err()
         {
             let description = format!("version {version} is not in force at {}", vm.caller_address);
-            world
-                .promises
+            env.promises
                 .record_violation(Promise::ConfigInForce, description);
         }
     }
@@ -114,9 +113,9 @@
 
 /// Restores the entries that others than the routers had written or removed since the copy, except those that
 /// have been changed again since the revert.
-fn rewrite_lost_entries(world: &TestEnv, lost: &Kv, copy: &Kv) {
+fn rewrite_lost_entries(env: &TestEnv, lost: &Kv, copy: &Kv) {
     let value = |kv: &Kv, key: &String| kv.items.get(key).map(|i| i.value.clone());
-    let current = world.store.backup();
+    let current = env.store.backup();
     let keys = lost.items.keys().chain(copy.items.keys());
     for key in keys.filter(|key| !key.starts_with(ROUTER_KEY_PREFIX)) {
         let has_changed = value(&current, key) != value(copy, key);
@@ -124,9 +123,9 @@
             _ if has_changed => {}
             lost if lost == value(copy, key) => {}
             Some(lost) => {
-                world.store.put(key, &lost);
+                env.store.put(key, &lost);
             }
-            None => world.store.remove(key),
+            None => env.store.remove(key),
         }
     }
 }
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -78,7 +78,7 @@
 pub const API_KEYS: [&str; 2] = ["key-that-stays", "key-that-goes"];
 
 impl TestEnv {
-    pub async fn start(plan: &RunOptions) -> Self {
+    pub async fn start(options: &RunOptions) -> Self {
         let promises = Rc::new(PromiseChecker::default());
         let store = Rc::new(Store::start("127.0.0.1:0").await);
         let mut targets = Vec::new();
@@ -88,16 +88,16 @@
             target.link.get_or_init(|| Rc::clone(&link));
             targets.push((target, link));
         }
-        let name = format!("scaleford-soak-{}-{}", std::process::id(), plan.seed);
+        let name = format!("scaleford-soak-{}-{}", std::process::id(), options.seed);
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).expect("a directory for settings and logs");
         let ports = free_ports();
         let mut vms = Vec::new();
-        for n in 0..plan.vms {
+        for n in 0..options.vms {
             let link = Link::start(store.server.address).await.expect("free port");
-            vms.push(create_vm(plan, n, ports, link, &dir, &promises));
+            vms.push(create_vm(options, n, ports, link, &dir, &promises));
         }
-        let world = Self {
+        let env = Self {
             vms,
             targets,
             store,
@@ -105,12 +105,12 @@
             version: Rc::default(),
             dir,
         };
-        for (target, _) in &world.targets {
-            world.write_entry(&target.id, "ready");
+        for (target, _) in &env.targets {
+            env.write_entry(&target.id, "ready");
         }
-        world.write_config(&API_KEYS);
-        world.vms.iter().for_each(|vm| vm.start());
-        world
+        env.write_config(&API_KEYS);
+        env.vms.iter().for_each(|vm| vm.start());
+        env
     }
 
     /// Waits until all routers are ready.
@@ -212,7 +212,7 @@
 
 /// Writes the settings file of a router, and returns the router without starting it.
 fn create_vm(
-    plan: &RunOptions,
+    options: &RunOptions,
     vm_index: usize,
     ports: [u16; 4],
     store_link: Rc<Link>,
@@ -224,7 +224,7 @@
     let ip = |n: usize| Ipv4Addr::new(127, high.max(1), low, n as u8 + 1);
     let [front, ready, control, peers] = ports;
     let address = |port: u16| SocketAddr::from((ip(vm_index), port)).to_string();
-    let seeds: Vec<String> = (0..plan.vms.min(3))
+    let seeds: Vec<String> = (0..options.vms.min(3))
         .map(|i| format!("{}:{control}", ip(i)))
         .collect();
     let settings: Value = json!({"node": format!("front-{vm_index}"), "zone": "yard", "ipAddr": ip(vm_index),
@@ -242,8 +242,8 @@
         caller_address: SocketAddr::from((ip(vm_index), front)),
         ready_address: SocketAddr::from((ip(vm_index), ready)),
         log_path: dir.join(format!("front-{vm_index}.log")),
-        settings_path: settings_path,
-        program: plan.program.clone(),
+        settings_path,
+        program: options.program.clone(),
         child: RefCell::default(),
         shutting_down: Cell::default(),
         disrupted: Cell::default(),
--- a/soak/src/withdrawals.rs
+++ b/soak/src/withdrawals.rs
@@ -37,7 +37,7 @@
 const RNG_STREAM: u128 = 0x7769_7468_6472_6177;
 
 /// Makes random targets withdraw for the given time.
-pub async fn inject(world: &TestEnv, seed: u64, duration: Duration) {
+pub async fn inject(env: &TestEnv, seed: u64, duration: Duration) {
     let mut rng = Pcg64::new(u128::from(seed), RNG_STREAM);
     let end = Instant::now() + duration;
     let mut active: Vec<(Instant, usize)> = Vec::new();
@@ -47,26 +47,26 @@
         active.retain(|(end, target_index)| {
             let is_active = Instant::now() < *end;
             if !is_active {
-                end_withdrawal(world, &world.targets[*target_index].0);
+                end_withdrawal(env, &env.targets[*target_index].0);
             }
             is_active
         });
-        let target_index = rng.random_range(0..world.targets.len());
+        let target_index = rng.random_range(0..env.targets.len());
         let announced_for = Duration::from_millis(rng.random_range(WITHDRAWAL_MS));
         let (is_leaving, backoff_s) = (rng.random_bool(0.5), rng.random_range(BACKOFF_S));
         let in_entry = rng.random_bool(0.3);
-        let target = &world.targets[target_index].0;
+        let target = &env.targets[target_index].0;
         if target.withdrawal.get() != Withdrawal::None {
             continue;
         }
         if !is_leaving {
             target.withdrawal.set(Withdrawal::Backoff(backoff_s));
         } else if target.started_at.get().elapsed() > INSTANCE_PROPAGATION_TIME
-            && world.promises.is_stable_for(INSTANCE_PROPAGATION_TIME)
+            && env.promises.is_stable_for(INSTANCE_PROPAGATION_TIME)
         {
             target.withdrawal.set(Withdrawal::Leaving);
             if in_entry {
-                world.write_entry(&target.id, "draining");
+                env.write_entry(&target.id, "draining");
             }
         }
         active.push((Instant::now() + announced_for, target_index));
@@ -74,9 +74,9 @@
 }
 
 /// Ends the announcement of a target. A target that was leaving is restarted.
-pub fn end_withdrawal(world: &TestEnv, target: &Target) {
+pub fn end_withdrawal(env: &TestEnv, target: &Target) {
     match target.withdrawal.get() {
-        Withdrawal::Leaving => world.on_restart(&target.id),
+        Withdrawal::Leaving => env.on_restart(&target.id),
         _ => target.withdrawal.set(Withdrawal::None),
     }
 }
@@ -137,19 +137,21 @@
     /// Drops what a router had to remember.
     ///
     /// Called when it is started, killed, shut down, paused or resumed, as it may have forgotten it.
-    pub fn on_vm_interrupted(&self, gateway: usize) {
+    pub fn on_vm_interrupted(&self, vm_index: usize) {
         self.leaving_since
             .borrow_mut()
-            .retain(|(g, _), _| *g != gateway);
-        self.backoffs.borrow_mut().retain(|(g, _), _| *g != gateway);
+            .retain(|(i, _), _| *i != vm_index);
+        self.backoffs
+            .borrow_mut()
+            .retain(|(i, _), _| *i != vm_index);
     }
 
     /// Records that a call arrives at a target.
     ///
     /// Returns a description of the violation if the call should not have been sent there.
     pub fn on_arrival(&self, call: &str, target: &Target) -> Option<String> {
-        let gateway = vm_index(call)?;
-        let instance = (gateway, target.instance());
+        let vm_index = vm_index(call)?;
+        let instance = (vm_index, target.instance());
         let leaving = self.leaving_since.borrow().get(&instance).copied();
         let sent = self.sent_at.borrow().get(call).copied();
         if let Some((since, sent)) = leaving.zip(sent)
@@ -179,14 +181,14 @@
 
     /// Records that a target responds to a call with an announcement about itself.
     pub fn on_announcement(&self, call: &str, target: &Target) {
-        let Some(gateway) = vm_index(call) else {
+        let Some(vm_index) = vm_index(call) else {
             return;
         };
         match target.withdrawal.get() {
             Withdrawal::None => {}
             Withdrawal::Leaving => {
-                let mut answered = self.leaving_responses.borrow_mut();
-                answered.insert(call.to_owned(), target.instance());
+                let mut responses = self.leaving_responses.borrow_mut();
+                responses.insert(call.to_owned(), target.instance());
             }
             Withdrawal::Backoff(seconds) if target.link_is_healthy_for(HEALTHY_LINK_TIME) => {
                 let now = Instant::now();
@@ -197,7 +199,7 @@
                 };
                 let mut all_backoffs = self.backoffs.borrow_mut();
                 let backoffs = all_backoffs
-                    .entry((gateway, target.instance()))
+                    .entry((vm_index, target.instance()))
                     .or_default();
                 backoffs.push(backoff);
             }
@@ -207,13 +209,13 @@
 
     /// Records that a caller received a target's response to a call that was sent to no other target.
     pub fn on_response_forwarded(&self, call: &str) {
-        let answered = self.leaving_responses.borrow_mut().remove(call);
-        let Some((gateway, instance)) = vm_index(call).zip(answered) else {
+        let instance = self.leaving_responses.borrow_mut().remove(call);
+        let Some((vm_index, instance)) = vm_index(call).zip(instance) else {
             return;
         };
         let mut leaving = self.leaving_since.borrow_mut();
         leaving
-            .entry((gateway, instance))
+            .entry((vm_index, instance))
             .or_insert_with(Instant::now);
     }
 }
