--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -38,6 +38,7 @@
 }
 
 impl Caller {
+    /// Connects to a router, or returns `None` if that fails.
     pub async fn connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -86,6 +86,7 @@
     }
 }
 
+/// Pauses a random router.
 fn pause_vm(env: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = env.vms.choose(rng) {
         vm.disrupted.set(true);
@@ -94,16 +95,19 @@
     }
 }
 
+/// Resumes all routers.
 fn resume_vms(env: &TestEnv) {
     env.vms.iter().for_each(|vm| vm.resume());
 }
 
+/// Makes a random router reload its settings.
 fn reload(env: &TestEnv, rng: &mut Pcg64) {
     if let Some(vm) = env.vms.choose(rng) {
         vm.signal(Signal::HUP);
     }
 }
 
+/// Changes how a random target handles calls.
 fn change_target(env: &TestEnv, rng: &mut Pcg64) {
     let behaviors = [
         TargetBehavior::Healthy,
@@ -118,6 +122,7 @@
     }
 }
 
+/// Sets or ends the fault of a random link.
 fn change_link(env: &TestEnv, rng: &mut Pcg64) {
     let to_targets = env.targets.iter().map(|(_, link)| link);
     let to_store = env.vms.iter().map(|vm| &vm.store_link);
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -35,6 +35,7 @@
 pub struct Link {
     /// Address at which the link accepts connections.
     pub address: SocketAddr,
+    /// The fault that is in force.
     fault: Cell<LinkFault>,
     /// When the last fault ended or was replaced by another one.
     last_fault_end: Cell<Option<Instant>>,
@@ -53,7 +54,7 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 impl Link {
-    /// Starts a proxy for the server `upstream` on a free loopback port.
+    /// Starts a proxy for the server at the address `upstream` on a free loopback port.
     pub async fn start(upstream: SocketAddr) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let link = Rc::new(Self {
@@ -104,6 +105,7 @@
         self.fault.get() == LinkFault::None && !had_recent_fault
     }
 
+    /// Starts the task that accepts connections.
     fn spawn_accept_loop(self: &Rc<Self>, listener: TcpListener) {
         let link = Rc::clone(self);
         let accept_task = tokio::task::spawn_local(async move {
@@ -120,6 +122,7 @@
     }
 }
 
+/// Makes the stream reset its connection when it is closed.
 fn reset_on_close(stream: &TcpStream) {
     // With a linger time of zero, closing resets the connection. If setting the option fails, it is closed
     // normally.
@@ -143,6 +146,7 @@
     }
 }
 
+/// Waits until the link resets its connections.
 async fn until_reset(link: &Link) {
     while link.fault.get() != LinkFault::Reset {
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -59,13 +59,21 @@
 /// Options of a run.
 #[derive(Debug, Clone)]
 struct RunOptions {
+    /// Seed of all random choices.
     seed: u64,
+    /// Time for which faults are injected.
     fault_duration: Duration,
+    /// Number of routers.
     vms: usize,
+    /// Path of the router program.
     program: PathBuf,
+    /// Whether to inject writes of store entries; see `entries`.
     entries: bool,
+    /// Whether to send a request that crashes targets; see `crashes`.
     crashes: bool,
+    /// Whether to let targets withdraw; see `withdrawals`.
     withdrawals: bool,
+    /// Whether to revert the store; see `store_reverts`.
     set_backs: bool,
 }
 
@@ -117,6 +125,7 @@
 /// than the time within which routers have to know about the crashes.
 const CRASHES_AFTER_FAULTS: Duration = Duration::from_secs(6);
 
+/// Runs the soak test and returns its verdict.
 async fn run(options: &RunOptions) -> promises::Verdict {
     let mut rng = Pcg64::seed_from_u64(options.seed);
     let env = Rc::new(vm::TestEnv::start(options).await);
--- a/soak/src/promises.rs
+++ b/soak/src/promises.rs
@@ -74,6 +74,7 @@
     NoResponse,
 }
 
+/// What is known of a call.
 #[derive(Debug, Default)]
 struct Call {
     /// Number of times that it arrived at a target.
--- a/soak/src/target.rs
+++ b/soak/src/target.rs
@@ -27,8 +27,8 @@
 /// How a target handles calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TargetBehavior {
-    #[default]
     /// Runs calls and responds.
+    #[default]
     Healthy,
     /// Refuses calls and reports them as not run.
     Refusing,
@@ -43,6 +43,7 @@
 /// A simulated target.
 pub struct Target {
     pub id: String,
+    /// How it handles calls.
     pub behavior: Cell<TargetBehavior>,
     /// What it announces about itself in responses.
     pub withdrawal: Cell<Withdrawal>,
@@ -64,6 +65,7 @@
 pub const LAST_EVENT: u64 = 12;
 
 impl Target {
+    /// Starts the target, and returns it with the address at which it accepts connections.
     pub async fn start(id: &str, promises: &Rc<PromiseChecker>) -> (Rc<Self>, SocketAddr) {
         let target = Rc::new(Self {
             id: id.to_owned(),
--- a/soak/src/vm.rs
+++ b/soak/src/vm.rs
@@ -78,6 +78,8 @@
 pub const API_KEYS: [&str; 2] = ["key-that-stays", "key-that-goes"];
 
 impl TestEnv {
+    /// Starts the targets, the store and the links, writes the entries and a configuration, and starts the
+    /// routers.
     pub async fn start(options: &RunOptions) -> Self {
         let promises = Rc::new(PromiseChecker::default());
         let store = Rc::new(Store::start("127.0.0.1:0").await);
