--- a/src/bin/scaleford/logs.rs
+++ b/src/bin/scaleford/logs.rs
@@ -10,11 +10,11 @@
 use serde_json::Value;
 
 /// Time before and after the call's log lines within which changes of a target's health are included.
-const AROUND_MS: u64 = 2_000;
+const CONTEXT_MS: u64 = 2_000;
 
 /// A log line that is relevant to the call.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct Told {
+pub(crate) struct LogEntry {
     /// Unix time of the line in milliseconds, as the router logged it.
     at_ms: u64,
     /// Log file that contains the line.
@@ -25,7 +25,7 @@
     line: Value,
 }
 
-impl std::fmt::Display for Told {
+impl std::fmt::Display for LogEntry {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self {
             at_ms,
@@ -38,7 +38,7 @@
 }
 
 /// Returns all lines of the files that are relevant to a call, in order of time.
-pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<Vec<Told>, String> {
+pub(crate) fn explain(id: &str, files: &[PathBuf]) -> Result<Vec<LogEntry>, String> {
     let mut own = Vec::new();
     let mut context = Vec::new();
     for file in files {
@@ -59,11 +59,11 @@
             }
         }
     }
-    context.retain(|(_, line)| concerns(line, &own));
+    context.retain(|(_, line)| is_relevant(line, &own));
     own.extend(context);
-    let mut all: Vec<Told> = own
+    let mut all: Vec<LogEntry> = own
         .into_iter()
-        .map(|(file, line)| told(file, line))
+        .map(|(file, line)| log_entry(file, line))
         .collect();
     all.sort_by_key(|t| t.at_ms);
     Ok(all)
@@ -71,19 +71,19 @@
 
 /// Returns whether a line is about a target that the call was sent to, or about a dependency, near the time
 /// of the call.
-fn concerns(line: &Value, own: &[(String, Value)]) -> bool {
+fn is_relevant(line: &Value, own: &[(String, Value)]) -> bool {
     let at = line["ts_ms"].as_u64().unwrap_or(0);
     let is_near = |l: &Value| {
         l["ts_ms"]
             .as_u64()
-            .is_some_and(|t| t.abs_diff(at) <= AROUND_MS)
+            .is_some_and(|t| t.abs_diff(at) <= CONTEXT_MS)
     };
     let same_target = |l: &Value| line["target"].is_null() || l["target"] == line["target"];
     own.iter().any(|(_, l)| is_near(l) && same_target(l))
 }
 
-fn told(file: String, line: Value) -> Told {
-    Told {
+fn log_entry(file: String, line: Value) -> LogEntry {
+    LogEntry {
         at_ms: line["ts_ms"].as_u64().unwrap_or(0),
         file,
         sentence: sentence(&line),
--- a/src/bin/scaleford/main.rs
+++ b/src/bin/scaleford/main.rs
@@ -13,7 +13,7 @@
 use scaleford::{ResultCode, config::FleetConfig};
 
 /// Exit code of a usage error, an unreadable file or a failed connection.
-const WRONG_USE: u8 = 2;
+const USAGE_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     match flags::Scaleford::from_env() {
@@ -28,14 +28,14 @@
         ScalefordCmd::Explain(e) if !e.log.is_empty() => finish(
             logs::explain(&e.request, &e.log).map(|entries| show::told(flags.json, &entries)),
         ),
-        _ => ask(flags),
+        _ => query_router(flags),
     }
 }
 
 fn finish(done: Result<ExitCode, String>) -> ExitCode {
     done.unwrap_or_else(|text| {
         eprintln!("scaleford: {text}");
-        ExitCode::from(WRONG_USE)
+        ExitCode::from(USAGE_ERROR)
     })
 }
 
@@ -46,12 +46,12 @@
     Ok(show::faults(as_json, &config.validation_errors()))
 }
 
-fn ask(flags: &flags::Scaleford) -> ExitCode {
+fn query_router(flags: &flags::Scaleford) -> ExitCode {
     match call(flags) {
-        Ok(answer) => show::answer(flags, &answer),
+        Ok(answer) => show::response(flags, &answer),
         Err(text) => {
             eprintln!("scaleford: {text}");
-            ExitCode::from(WRONG_USE)
+            ExitCode::from(USAGE_ERROR)
         }
     }
 }
--- a/src/bin/scaleford/show.rs
+++ b/src/bin/scaleford/show.rs
@@ -9,11 +9,11 @@
     api::Answer,
     exit_code,
     flags::{IntentCmd, Scaleford, ScalefordCmd},
-    logs::Told,
+    logs::LogEntry,
 };
 
 /// Prints a response and returns the exit code.
-pub(crate) fn answer(flags: &Scaleford, answer: &Answer) -> ExitCode {
+pub(crate) fn response(flags: &Scaleford, answer: &Answer) -> ExitCode {
     let error = answer.body.get("error");
     let code = error
         .and_then(|e| e["number"].as_i64())
@@ -49,7 +49,7 @@
 }
 
 /// Prints the log lines that are relevant to a call; the exit code is 3 if there are none.
-pub(crate) fn told(as_json: bool, entries: &[Told]) -> ExitCode {
+pub(crate) fn told(as_json: bool, entries: &[LogEntry]) -> ExitCode {
     match as_json {
         true => println!("{}", serde_json::json!(entries)),
         false => entries.iter().for_each(|e| println!("{e}")),
@@ -116,7 +116,7 @@
             "{:<24} {:<28} {:<9} {:>6} {load:>6.2} {:>9} {:>9}",
             text(&t["target"]),
             text(&t["pool"]),
-            withdrawn(&t["withdrawn"]).unwrap_or_else(|| text(&t["standing"]).to_owned()),
+            withdrawal_text(&t["withdrawn"]).unwrap_or_else(|| text(&t["standing"]).to_owned()),
             t["calls"],
             t["tokens"],
             t["kept"]
@@ -125,7 +125,7 @@
 }
 
 /// Returns the text that is shown instead of the health of a target that accepts no calls.
-fn withdrawn(w: &Value) -> Option<String> {
+fn withdrawal_text(w: &Value) -> Option<String> {
     let withdrawal = w.as_object()?;
     let left = withdrawal["left_ms"].as_u64();
     Some(left.map_or("leaves".to_owned(), |ms| {
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -20,17 +20,17 @@
 
 /// Information about a call, from the caller's request.
 #[derive(Debug, Clone)]
-pub struct CallFacts {
+pub struct CallInfo {
     /// Host, method and path that routes match.
-    pub asked: RoutingKey,
+    pub routing_key: RoutingKey,
     /// Refusal sent if no route matches.
-    pub unknown: Refusal,
+    pub no_route_refusal: Refusal,
     /// Time for which the caller waits, from when it sent the call.
     pub deadline: Option<Duration>,
     /// Key by which the caller authenticates.
     pub key: Option<String>,
     /// Id of the last event that the caller received of an interrupted response.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Parts of the prompt of a call to a model engine; empty for others.
     pub prompt: Vec<PromptPart>,
     /// Number of leading prompt parts that calls of other chats may begin with as well.
@@ -42,23 +42,23 @@
     /// Priority that the caller requests; it can't exceed the priority of the account's calls.
     pub rank: Option<Rank>,
     /// Key by which the caller identifies a call that must not run twice.
-    pub claim: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-impl Default for CallFacts {
+impl Default for CallInfo {
     fn default() -> Self {
         Self {
-            asked: RoutingKey::default(),
-            unknown: Refusal::new(ResultCode::UnknownPath, "no such path"),
+            routing_key: RoutingKey::default(),
+            no_route_refusal: Refusal::new(ResultCode::UnknownPath, "no such path"),
             deadline: None,
             key: None,
-            last_event: None,
+            last_event_id: None,
             prompt: Vec::new(),
             shared_parts: 0,
             chat: None,
             answer: None,
             rank: None,
-            claim: None,
+            idempotency_key: None,
         }
     }
 }
@@ -71,7 +71,7 @@
     /// Reason, as a sentence for the caller and the log.
     pub why: Cow<'static, str>,
     /// Delay after which the caller should retry; `None` for the default.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
@@ -80,14 +80,14 @@
         Self {
             code,
             why: Cow::Borrowed(why),
-            come_back: None,
+            retry_after: None,
         }
     }
 }
 
 /// Information sent to a target in addition to the caller's request.
 #[derive(Debug, Clone, Copy)]
-pub struct Handover<'a> {
+pub struct ForwardInfo<'a> {
     /// Target that the call is for; any other rejects it.
     pub target: &'a TargetId,
     /// Id of the call.
@@ -108,45 +108,45 @@
 
 /// The target that rejected a call without running it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum RejectedBy {
     /// The target that the call was for.
-    ByTarget,
+    IntendedTarget,
     /// Another target that has its address now.
-    ByAnother,
+    OtherTarget,
 }
 
 /// Information from the head of a target's response.
 #[derive(Debug, Clone, Default)]
-pub struct AnswerFacts {
+pub struct ResponseInfo {
     /// Id of the call that the response belongs to.
     pub id: Option<String>,
     /// Whether the target signed the response as its own.
-    pub sealed: bool,
+    pub signed: bool,
     /// Who rejected the call, in which case it has not run and will not run; `None` if it was not rejected.
-    pub refused: Option<Refused>,
+    pub rejected_by: Option<RejectedBy>,
     /// Whether the body has a content encoding, which no target applies itself.
-    pub encoded: bool,
+    pub has_content_encoding: bool,
     /// Load that the target reports.
     pub load: Option<ReportedLoad>,
     /// Time for which the target keeps an idle connection open.
     pub keep_alive: Option<Duration>,
     /// Whether the target closes the connection after this response.
-    pub closing: bool,
+    pub closes_connection: bool,
     /// Whether the target accepts no further calls, for good or for a while.
     pub withdrawal: Option<Withdrawal>,
 }
 
-impl AnswerFacts {
+impl ResponseInfo {
     /// Returns whether a response with this status may be passed on as the target's own. A success must be
     /// signed, and its bytes unchanged by an encoding.
-    pub fn is_targets(&self, status: StatusCode) -> bool {
-        !status.is_success() || (self.sealed && !self.encoded)
+    pub fn is_authentic(&self, status: StatusCode) -> bool {
+        !status.is_success() || (self.signed && !self.has_content_encoding)
     }
 }
 
 /// A page that the router itself serves on the callers' port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Page {
+pub enum BuiltInPage {
     /// Liveness check.
     Alive,
     /// Readiness check: whether the router accepts callers.
@@ -158,24 +158,24 @@
 /// Conversion between the headers of callers and targets and the library's types.
 pub trait Dialect {
     /// Returns the router's own page that is requested, if any.
-    fn page(&self, _head: &request::Parts) -> Option<Page> {
+    fn page(&self, _head: &request::Parts) -> Option<BuiltInPage> {
         None
     }
     /// Returns the id of a call: the caller's own, or a generated one.
     fn call_id(&self, headers: &HeaderMap) -> Option<String>;
     /// Parses a whole request.
-    fn read_call(
+    fn parse_call(
         &self,
         head: &request::Parts,
         body: &Bytes,
         id: Option<&str>,
-    ) -> Result<CallFacts, Refusal>;
+    ) -> Result<CallInfo, Refusal>;
     /// Converts a caller's headers into the headers for a target.
-    fn write_handover(&self, headers: &mut HeaderMap, handover: &Handover<'_>);
+    fn write_forward_headers(&self, headers: &mut HeaderMap, handover: &ForwardInfo<'_>);
     /// Parses the head of a target's response.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo;
     /// Adds the call's id to its response, if callers expect it.
-    fn name_answer(&self, _headers: &mut HeaderMap, _id: &str) {}
+    fn write_call_id(&self, _headers: &mut HeaderMap, _id: &str) {}
     /// Formats a delay for the `Retry-After` header.
     fn retry_after(&self, pause: Duration) -> String;
 }
--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -18,7 +18,7 @@
     ResultCode,
     admission::{surge::Surge, wait_for_config},
     config::serving::{Denied, KeyOwner, Route},
-    dialect::{CallFacts, Refusal},
+    dialect::{CallInfo, Refusal},
     dispatcher::CallPlan,
     explain::Decision,
     fingerprint::{Fingerprint, FingerprintInput},
@@ -61,7 +61,7 @@
     let body = incoming_call.body.as_ref()?;
     let facts = cx
         .dialect
-        .read_call(&incoming_call.head, body, incoming_call.id.as_deref());
+        .parse_call(&incoming_call.head, body, incoming_call.id.as_deref());
     facts.ok()?.deadline
 }
 
@@ -72,7 +72,7 @@
     let age = cx.now().0;
     let come_back = (dispatcher.admission).retry_after_startup(age, time_left, rand::random());
     Refusal {
-        come_back: Some(come_back),
+        retry_after: Some(come_back),
         ..Refusal::new(ResultCode::NoConfig, "no configuration yet")
     }
 }
@@ -96,10 +96,10 @@
     } = incoming_call;
     let too_large = Refusal::new(ResultCode::BodyTooLarge, "body above the limit");
     let body = body.ok_or(too_large)?;
-    let facts = cx.dialect.read_call(&head, &body, id.as_deref())?;
-    let admitted = config.admit(&facts.asked, facts.key.as_deref());
+    let facts = cx.dialect.parse_call(&head, &body, id.as_deref())?;
+    let admitted = config.admit(&facts.routing_key, facts.key.as_deref());
     let (route, holder) = admitted.map_err(|denied| match denied {
-        Denied::NoRoute => facts.unknown.clone(),
+        Denied::NoRoute => facts.no_route_refusal.clone(),
         Denied::WrongKey => Refusal::new(ResultCode::WrongKey, "no such key"),
     })?;
     if cx.phase() >= Phase::Refusing {
@@ -119,7 +119,7 @@
     ending.fingerprint = Some(fingerprint);
     if let Some(time_left) = endings::held_back(cx, fingerprint) {
         return Err(Refusal {
-            come_back: Some(time_left),
+            retry_after: Some(time_left),
             ..Refusal::new(ResultCode::HeldBack, HELD_BACK)
         });
     }
@@ -162,7 +162,7 @@
         fingerprint,
         hold_until: received + held_for(&facts, &route),
         rank: rank(&facts, &route, holder.as_ref()),
-        last_event: facts.last_event,
+        last_event: facts.last_event_id,
         attempts: Attempts::default(),
         conn_limit: spec.map_or(usize::MAX, |s| cx.conn_share(s.max_conns)),
         plan,
@@ -180,10 +180,10 @@
 fn fingerprint(
     head: &request::Parts,
     body: &Bytes,
-    facts: &CallFacts,
+    facts: &CallInfo,
     account: Option<&ClientAccountId>,
 ) -> Fingerprint {
-    let routing_key = &facts.asked;
+    let routing_key = &facts.routing_key;
     let path_and_query = head.uri.path_and_query().map(PathAndQuery::as_str);
     Fingerprint::of(&FingerprintInput {
         account,
@@ -195,23 +195,20 @@
 }
 
 /// Computes the call's timeout: the caller's deadline, but at most the route's timeout.
-fn held_for(facts: &CallFacts, route: &Route) -> Duration {
+fn held_for(facts: &CallInfo, route: &Route) -> Duration {
     facts
         .deadline
         .map_or(route.timeout, |d| d.min(route.timeout))
 }
 
-fn chat_within(
-    facts: &CallFacts,
-    holder: Option<&KeyOwner>,
-) -> Option<crate::ids::ConversationKey> {
+fn chat_within(facts: &CallInfo, holder: Option<&KeyOwner>) -> Option<crate::ids::ConversationKey> {
     let chat = facts.chat?;
     Some(holder.map_or(chat, |h| chat.within(&h.account)))
 }
 
 /// Returns the call's urgency: the account's rank, or the route's if the account has none or the
 /// route's calls are claimed. The caller can only lower it.
-fn rank(facts: &CallFacts, route: &Route, holder: Option<&KeyOwner>) -> Rank {
+fn rank(facts: &CallInfo, route: &Route, holder: Option<&KeyOwner>) -> Rank {
     let default = holder.and_then(|h| h.rank).unwrap_or(route.rank);
     let default = if route.claimed { route.rank } else { default };
     facts
@@ -224,7 +221,7 @@
         "come_back_ms" => retry_after.as_millis() as u64);
     Refusal {
         why: Cow::Borrowed("the account's limit is reached"),
-        come_back: Some(retry_after),
+        retry_after: Some(retry_after),
         ..Refusal::new(ResultCode::AccountLimit, "")
     }
 }
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -22,7 +22,7 @@
 };
 use crate::{
     config::serving::{KeyOwner, Route},
-    dialect::{AnswerFacts, CallFacts, Handover, Refused},
+    dialect::{CallInfo, ForwardInfo, RejectedBy, ResponseInfo},
     dispatcher::{CallPlan, Ticket},
     explain::Decision,
     fingerprint::Fingerprint,
@@ -40,7 +40,7 @@
     pub(crate) id: Option<String>,
     /// Hash of the request; it is the same each time that the caller sends the same request.
     pub(crate) fingerprint: Fingerprint,
-    pub(crate) facts: CallFacts,
+    pub(crate) facts: CallInfo,
     pub(crate) route: Rc<Route>,
     pub(crate) holder: Option<KeyOwner>,
     pub(crate) plan: CallPlan,
@@ -83,7 +83,7 @@
 pub(crate) struct Begun {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseInfo,
     pub(crate) conn: Conn,
     pub(crate) place: Place,
 }
@@ -240,7 +240,7 @@
         }
     };
     let (head, body) = res.into_parts();
-    let facts = cx.dialect.read_answer(head.status, &head.headers);
+    let facts = cx.dialect.parse_response(head.status, &head.headers);
     if let Some(load) = facts.load {
         let mut dispatcher = cx.dispatcher.borrow_mut();
         dispatcher.load.on_report(cx.now(), place.target(), load);
@@ -287,16 +287,16 @@
             begun.place.end(AttemptEnd::AnotherAnswer);
             Err(Failed::may_have_run(AttemptEnd::AnotherAnswer))
         }
-        () if facts.refused == Some(Refused::ByAnother) => {
+        () if facts.rejected_by == Some(RejectedBy::OtherTarget) => {
             on_refused(cx, call, begun.place.target());
             begun.place.end(AttemptEnd::AnotherTarget);
             Err(Failed::not_run(AttemptEnd::AnotherTarget))
         }
-        () if facts.refused.is_some() => {
+        () if facts.rejected_by.is_some() => {
             begun.place.end(AttemptEnd::Refused);
             Err(Failed::not_run(AttemptEnd::Refused))
         }
-        () if !facts.is_targets(status) => {
+        () if !facts.is_authentic(status) => {
             begun.place.end(AttemptEnd::NotTargetsAnswer);
             Err(Failed::may_have_run(AttemptEnd::NotTargetsAnswer))
         }
@@ -311,7 +311,7 @@
     ticket: &Ticket,
     span: &HopSpan,
 ) -> Request<Full<Bytes>> {
-    let handover = Handover {
+    let handover = ForwardInfo {
         target: &ticket.target.id,
         id: call.id.as_deref(),
         attempt: call.attempts.sent() + 1,
@@ -325,7 +325,7 @@
     *req.method_mut() = call.head.method.clone();
     *req.uri_mut() = call.handed_uri();
     let mut headers = call.head.headers.clone();
-    cx.dialect.write_handover(&mut headers, &handover);
+    cx.dialect.write_forward_headers(&mut headers, &handover);
     span.inject(&mut headers);
     *req.headers_mut() = headers;
     req
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -24,7 +24,7 @@
 };
 use crate::{
     ResultCode,
-    dialect::{AnswerFacts, Page, Refusal},
+    dialect::{BuiltInPage, Refusal, ResponseInfo},
     ids::ModelName,
     reply,
     retry::Execution,
@@ -57,7 +57,7 @@
     if let Some(page) = cx.dialect.page(&head) {
         let mut res = on_page(cx, page, &head);
         cx.dialect
-            .name_answer(res.headers_mut(), id.as_deref().unwrap_or_default());
+            .write_call_id(res.headers_mut(), id.as_deref().unwrap_or_default());
         return Ok(res);
     }
     let mut ending = Ending::new(cx, id.as_deref());
@@ -104,13 +104,13 @@
 }
 
 /// Answers a request for one of the router's own pages. The list of models requires a valid key.
-fn on_page(cx: &Gateway, page: Page, head: &request::Parts) -> Response<AnswerBody> {
+fn on_page(cx: &Gateway, page: BuiltInPage, head: &request::Parts) -> Response<AnswerBody> {
     match page {
-        Page::Alive => reply::whole(200, "text/plain", "ok\n"),
-        Page::Ready if cx.is_ready() => reply::whole(200, "text/plain", "ready\n"),
-        Page::Ready => reply::whole(503, "text/plain", format!("{}\n", view::state(cx))),
-        Page::Models => {
-            let facts = cx.dialect.read_call(head, &Bytes::new(), None);
+        BuiltInPage::Alive => reply::with_body(200, "text/plain", "ok\n"),
+        BuiltInPage::Ready if cx.is_ready() => reply::with_body(200, "text/plain", "ready\n"),
+        BuiltInPage::Ready => reply::with_body(503, "text/plain", format!("{}\n", view::state(cx))),
+        BuiltInPage::Models => {
+            let facts = cx.dialect.parse_call(head, &Bytes::new(), None);
             let key = facts.ok().and_then(|f| f.key);
             let config = cx.serving();
             let is_known = |key: &str| config.as_ref().is_some_and(|c| c.key_owner(key).is_some());
@@ -297,8 +297,8 @@
 }
 
 /// Returns a connection to the pool for the next call, unless it is closed or will be closed.
-pub(crate) async fn keep(cx: &Gateway, mut conn: super::conn::Conn, facts: &AnswerFacts) {
-    if facts.closing {
+pub(crate) async fn keep(cx: &Gateway, mut conn: super::conn::Conn, facts: &ResponseInfo) {
+    if facts.closes_connection {
         return;
     }
     if conn.sender.ready().await.is_ok() {
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -176,7 +176,7 @@
     ending: &Ending,
     mut res: Response<AnswerBody>,
 ) -> Response<AnswerBody> {
-    cx.dialect.name_answer(res.headers_mut(), &ending.id);
+    cx.dialect.write_call_id(res.headers_mut(), &ending.id);
     if cx.phase() != Phase::Serving {
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
@@ -254,11 +254,11 @@
     let Refusal {
         code,
         why,
-        come_back,
+        retry_after,
     } = refusal;
     let why: Cow<'static, str> = why;
     ending.tell(End::coded(code, &why), Attempts::default());
-    answer(cx, ending, code, &why, come_back)
+    answer(cx, ending, code, &why, retry_after)
 }
 
 /// Builds an error response of the router. A 429 or 503 always has a `Retry-After`; without one given,
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -193,7 +193,7 @@
 
     /// Returns the number of spans begun so far, one per hop of a call.
     pub fn hop_spans(&self) -> u64 {
-        self.spans.begun()
+        self.spans.started_count()
     }
 
     /// Applies changed rules, and adds changed addresses of other routers.
--- a/src/edge/once.rs
+++ b/src/edge/once.rs
@@ -49,7 +49,7 @@
         }
         let refusal = Refusal {
             why: why(verdict).into(),
-            come_back: Some(COME_BACK),
+            retry_after: Some(COME_BACK),
             ..Refusal::new(code, "")
         };
         return refuse(cx, &ending, refusal);
@@ -72,7 +72,7 @@
 fn first_step(call: &Call) -> Result<ClaimStep, Refusal> {
     let missing = "this call must not be repeated: send an Idempotency-Key";
     let missing = Refusal::new(ResultCode::MissingIdempotencyKey, missing);
-    let idempotency_key = call.facts.claim.as_deref().ok_or(missing)?;
+    let idempotency_key = call.facts.idempotency_key.as_deref().ok_or(missing)?;
     let internal = || Refusal::new(ResultCode::Internal, "a call without an account or an id");
     let holder = call.holder.as_ref().ok_or_else(internal)?;
     let request: RequestId = call.id().parse().map_err(|_| internal())?;
--- a/src/edge/place.rs
+++ b/src/edge/place.rs
@@ -7,7 +7,7 @@
 
 use super::{attempt::Call, attempt_end::AttemptEnd, endings, gateway::Gateway};
 use crate::{
-    dialect::AnswerFacts, dispatcher::Ticket, explain::Decision, fingerprint::Fingerprint,
+    dialect::ResponseInfo, dispatcher::Ticket, explain::Decision, fingerprint::Fingerprint,
     health::Outcome, ids::TargetId, prompt_cache::PartId, spans::HopSpan, units::Instant,
     withdrawals::Withdrawal,
 };
@@ -39,7 +39,7 @@
             began: now,
             withdrawal: None,
             ended: false,
-            span: cx.spans.hop("target", call.id(), &call.head.headers),
+            span: cx.spans.start_hop("target", call.id(), &call.head.headers),
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Handles the arrival of the answer's head.
-    pub(crate) fn on_head(&mut self, facts: &AnswerFacts) {
+    pub(crate) fn on_head(&mut self, facts: &ResponseInfo) {
         self.withdrawal = facts.withdrawal;
     }
 
@@ -96,7 +96,7 @@
         let (log, target) = (&self.cx.log, &self.ticket.target.id);
         self.cx.metrics.on_attempt(why);
         self.on_request(end);
-        self.span.note("outcome", why);
+        self.span.set_attribute("outcome", why);
         self.cx.note(&self.id, || match outcome {
             Some(Outcome::Good) => Decision::Answered {
                 target: target.clone(),
--- a/src/edge/stop.rs
+++ b/src/edge/stop.rs
@@ -69,7 +69,7 @@
         took_ms: cx.now().since(began).as_millis() as u64,
     };
     info!(cx.log, "stopped"; "cut_off" => report.cut_off, "took_ms" => report.took_ms);
-    if let Err(e) = cx.spans.flush() {
+    if let Err(e) = cx.spans.shut_down() {
         info!(cx.log, "spans not sent"; "why" => %e);
     }
     cx.flusher.flush();
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -39,7 +39,7 @@
     splitter: EventSplitter,
     conn: super::conn::Conn,
     place: Place,
-    facts: crate::dialect::AnswerFacts,
+    facts: crate::dialect::ResponseInfo,
 }
 
 /// Next item of a target's stream.
@@ -67,7 +67,7 @@
                     let data = frame.data_ref().map_or(&[][..], |d| d.as_ref());
                     self.splitter.push(data);
                 }
-                Some(None) if self.splitter.has_rest() => {
+                Some(None) if self.splitter.has_incomplete_event() => {
                     return Next::Broken(AttemptEnd::EventCutOff);
                 }
                 Some(None) => return Next::End,
--- a/src/edge/withdrawals.rs
+++ b/src/edge/withdrawals.rs
@@ -5,7 +5,7 @@
 
 use super::{attempt::Call, gateway::Gateway};
 use crate::{
-    dialect::{AnswerFacts, Refused},
+    dialect::{RejectedBy, ResponseInfo},
     ids::TargetId,
     withdrawals::Withdrawal,
 };
@@ -18,9 +18,9 @@
     call: &Call,
     target: &TargetId,
     status: StatusCode,
-    facts: &AnswerFacts,
+    facts: &ResponseInfo,
 ) {
-    let is_own = facts.refused != Some(Refused::ByAnother) && facts.is_targets(status);
+    let is_own = facts.rejected_by != Some(RejectedBy::OtherTarget) && facts.is_authentic(status);
     let Some(withdrawal) = facts.withdrawal.filter(|_| is_own) else {
         return;
     };
--- a/src/event_stream.rs
+++ b/src/event_stream.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Maximum size of an event in bytes; engines send events of some hundred bytes.
-const EVENT_LIMIT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// A complete event as received, with the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -16,14 +16,14 @@
 
 /// Error of an event that exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an event is larger than {EVENT_LIMIT} bytes")]
-pub struct TooLarge;
+#[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
+pub struct EventTooLarge;
 
 /// Buffers received bytes and splits them into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    searched: usize,
+    searched_bytes: usize,
 }
 
 impl EventSplitter {
@@ -33,34 +33,34 @@
     }
 
     /// Returns the next complete event, if there is one.
-    pub fn next_event(&mut self) -> Result<Option<Event>, TooLarge> {
+    pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLarge> {
         let Some(end) = self.find_end() else {
             return match self.buf.len() {
-                n if n > EVENT_LIMIT => Err(TooLarge),
+                n if n > MAX_EVENT_BYTES => Err(EventTooLarge),
                 _ => Ok(None),
             };
         };
-        self.searched = 0;
+        self.searched_bytes = 0;
         let bytes = self.buf.split_to(end).freeze();
         let id = event_id(&bytes);
         Ok(Some(Event { id, bytes }))
     }
 
     /// Returns whether bytes are buffered that have not been returned as an event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         self.buf.has_remaining()
     }
 
     /// Returns the end of the first event, which is behind the line feed of an empty line.
     fn find_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched_bytes.saturating_sub(3);
         let buf = &self.buf;
         let end = (from..buf.len()).find_map(|i| match &buf[i..] {
             [b'\n', b'\n', ..] => Some(i + 2),
             [b'\n', b'\r', b'\n', ..] => Some(i + 3),
             _ => None,
         });
-        self.searched = buf.len();
+        self.searched_bytes = buf.len();
         end
     }
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -14,23 +14,23 @@
 use slog::{Drain, LevelFilter, Logger, o, warn};
 
 /// Maximum size of the buffered lines in bytes: some thousand lines, a few seconds of a busy router.
-const BUFFER_LIMIT: usize = 512 << 10;
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
 
 /// Maximum number of batches queued for the writing thread.
-const BATCHES: usize = 4;
+const MAX_QUEUED_BATCHES: usize = 4;
 
 #[derive(Debug, Default)]
-struct Pending {
+struct PendingLines {
     buf: Vec<u8>,
-    left_out: u64,
+    dropped: u64,
 }
 
 #[derive(Clone)]
-struct Buffer(Arc<Mutex<Pending>>);
+struct Buffer(Arc<Mutex<PendingLines>>);
 
 impl Buffer {
     /// Locks the buffered lines. A poisoned lock is ignored: a thread that panicked left only whole lines.
-    fn lock(&self) -> MutexGuard<'_, Pending> {
+    fn lock(&self) -> MutexGuard<'_, PendingLines> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -38,9 +38,9 @@
 impl Write for Buffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut pending = self.lock();
-        match pending.buf.len() + line.len() <= BUFFER_LIMIT {
+        match pending.buf.len() + line.len() <= MAX_BUFFERED_BYTES {
             true => pending.buf.extend_from_slice(line),
-            false => pending.left_out += 1,
+            false => pending.dropped += 1,
         }
         Ok(line.len())
     }
@@ -80,7 +80,7 @@
         match logged {
             // Writing to memory does not fail.
             true => drop(buffer.write(&line)),
-            false => self.buffer.lock().left_out += 1,
+            false => self.buffer.lock().dropped += 1,
         }
         Ok(())
     }
@@ -106,7 +106,7 @@
             let mut pending = self.buffer.lock();
             (
                 std::mem::take(&mut pending.buf),
-                std::mem::take(&mut pending.left_out),
+                std::mem::take(&mut pending.dropped),
             )
         };
         if left_out > 0 {
@@ -127,7 +127,7 @@
 ///
 /// Lines below `level` are discarded and not counted as dropped.
 pub fn buffered(mut out: impl Write + Send + 'static, level: slog::Level) -> (Logger, LogFlusher) {
-    let (batches, queue) = sync_channel::<Vec<u8>>(BATCHES);
+    let (batches, queue) = sync_channel::<Vec<u8>>(MAX_QUEUED_BATCHES);
     std::thread::spawn(move || {
         for batch in queue {
             // If the reader is gone, there is nowhere to report the error.
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -18,7 +18,7 @@
         routes::{SERVICE_PREFIX, chat_path},
         serving::RoutingKey,
     },
-    dialect::{AnswerFacts, CallFacts, Dialect, Handover, Page, Refusal, Refused},
+    dialect::{BuiltInPage, CallInfo, Dialect, ForwardInfo, Refusal, RejectedBy, ResponseInfo},
     ids::{AttemptId, ConversationKey, ModelName, RequestId},
     prompt_cache::{PartId, PromptPart},
     reply,
@@ -27,33 +27,33 @@
 };
 
 /// Approximate number of bytes per token.
-const CHARS_PER_TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// Path of chat requests.
 const CHAT_PATH: &str = "/v1/chat/completions";
 
 /// Name of a chat, as given by the caller.
-const CHAT: HeaderName = HeaderName::from_static("x-conversation-id");
+const CONVERSATION_ID: HeaderName = HeaderName::from_static("x-conversation-id");
 /// Priority of a call: requested by a caller, binding for a target.
 const PRIORITY: HeaderName = HeaderName::from_static("x-priority");
 /// Key by which the caller identifies a call that must not run twice.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Id of the attempt, sent to a target.
-const ATTEMPT: HeaderName = HeaderName::from_static("x-request-attempt");
+const REQUEST_ATTEMPT: HeaderName = HeaderName::from_static("x-request-attempt");
 /// Set by a target that did not run the call.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 /// Set to `1` in any response of a target that is leaving.
 const LEAVING: HeaderName = HeaderName::from_static("x-leaving");
 
 /// Headers of callers that are not forwarded to targets.
-const PRIVATE: [HeaderName; 3] = [
+const NOT_FORWARDED: [HeaderName; 3] = [
     header::AUTHORIZATION,
     header::COOKIE,
     header::PROXY_AUTHORIZATION,
 ];
 
 /// Hop-by-hop headers, which are not forwarded.
-const CONNECTION_ONLY: [&str; 7] = [
+const HOP_BY_HOP: [&str; 7] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -88,11 +88,11 @@
 }
 
 impl Dialect for OpenAiDialect {
-    fn page(&self, head: &request::Parts) -> Option<Page> {
+    fn page(&self, head: &request::Parts) -> Option<BuiltInPage> {
         match (&head.method, head.uri.path()) {
-            (&Method::GET, "/healthz") => Some(Page::Alive),
-            (&Method::GET, "/readyz") => Some(Page::Ready),
-            (&Method::GET, "/v1/models") => Some(Page::Models),
+            (&Method::GET, "/healthz") => Some(BuiltInPage::Alive),
+            (&Method::GET, "/readyz") => Some(BuiltInPage::Ready),
+            (&Method::GET, "/v1/models") => Some(BuiltInPage::Models),
             _ => None,
         }
     }
@@ -101,42 +101,42 @@
         Some(RequestId::random().to_string())
     }
 
-    fn read_call(
+    fn parse_call(
         &self,
         head: &request::Parts,
         body: &Bytes,
         id: Option<&str>,
-    ) -> Result<CallFacts, Refusal> {
+    ) -> Result<CallInfo, Refusal> {
         let path = head.uri.path();
-        let facts = CallFacts {
-            asked: RoutingKey {
+        let facts = CallInfo {
+            routing_key: RoutingKey {
                 host: String::new(),
                 method: head.method.clone(),
                 path: path.to_owned(),
             },
             key: key(&head.headers).map(str::to_owned),
-            rank: asked_rank(&head.headers),
-            claim: text(&head.headers, &IDEMPOTENCY_KEY).map(str::to_owned),
-            ..CallFacts::default()
+            rank: requested_rank(&head.headers),
+            idempotency_key: text(&head.headers, &IDEMPOTENCY_KEY).map(str::to_owned),
+            ..CallInfo::default()
         };
         match (&head.method, path) {
             (&Method::POST, CHAT_PATH) => {
-                let chat = read_chat(body)?;
-                with_chat(facts, chat, &head.headers, id)
+                let chat = parse_chat(body)?;
+                add_chat(facts, chat, &head.headers, id)
             }
-            (_, path) if path.starts_with(SERVICE_PREFIX) => Ok(CallFacts {
-                unknown: Refusal::new(ResultCode::UnknownService, "no such service"),
+            (_, path) if path.starts_with(SERVICE_PREFIX) => Ok(CallInfo {
+                no_route_refusal: Refusal::new(ResultCode::UnknownService, "no such service"),
                 ..facts
             }),
             _ => Ok(facts),
         }
     }
 
-    fn write_handover(&self, headers: &mut HeaderMap, handover: &Handover<'_>) {
-        for name in CONNECTION_ONLY {
+    fn write_forward_headers(&self, headers: &mut HeaderMap, handover: &ForwardInfo<'_>) {
+        for name in HOP_BY_HOP {
             headers.remove(name);
         }
-        for name in PRIVATE {
+        for name in NOT_FORWARDED {
             headers.remove(name);
         }
         let request = handover.id.and_then(|id| id.parse().ok());
@@ -145,14 +145,14 @@
             number: handover.attempt,
         });
         if let Some(attempt) = attempt {
-            set(headers, ATTEMPT, &attempt.to_string());
+            set(headers, REQUEST_ATTEMPT, &attempt.to_string());
         }
         if let Some(rank) = handover.rank {
             set(headers, PRIORITY, &Priority::from_rank(rank).to_string());
         }
     }
 
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo {
         let not_run = status.as_u16() >= 400 && headers.contains_key(&NOT_RUN);
         let closing = headers.get(header::CONNECTION);
         // `Retry-After` counts only with status 503, because a 429 may concern the caller.
@@ -160,17 +160,21 @@
         let retry_after = headers.get(header::RETRY_AFTER);
         let leaving = headers.get(LEAVING).is_some_and(|v| v == "1");
         let backoff = retry_after.and_then(|v| v.to_str().ok()?.trim().parse().ok());
-        AnswerFacts {
-            sealed: true,
-            refused: not_run.then_some(Refused::ByTarget),
+        ResponseInfo {
+            signed: true,
+            rejected_by: not_run.then_some(RejectedBy::IntendedTarget),
             withdrawal: Withdrawal::from_headers(leaving, backoff.filter(|_| is_unavailable)),
-            closing: closing.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close")),
-            ..AnswerFacts::default()
+            closes_connection: closing.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close")),
+            ..ResponseInfo::default()
         }
     }
 
-    fn name_answer(&self, headers: &mut HeaderMap, id: &str) {
-        set(headers, HeaderName::from_static(reply::REQUEST_HEADER), id);
+    fn write_call_id(&self, headers: &mut HeaderMap, id: &str) {
+        set(
+            headers,
+            HeaderName::from_static(reply::REQUEST_ID_HEADER),
+            id,
+        );
     }
 
     /// Returns whole seconds, at least 1, which all kinds of callers accept.
@@ -180,19 +184,19 @@
     }
 }
 
-fn read_chat(body: &[u8]) -> Result<WireChat, Refusal> {
+fn parse_chat(body: &[u8]) -> Result<WireChat, Refusal> {
     serde_json::from_slice(body).map_err(|e| Refusal {
         why: e.to_string().into(),
         ..Refusal::new(ResultCode::BadJson, "")
     })
 }
 
-fn with_chat(
-    facts: CallFacts,
+fn add_chat(
+    facts: CallInfo,
     chat: WireChat,
     headers: &HeaderMap,
     id: Option<&str>,
-) -> Result<CallFacts, Refusal> {
+) -> Result<CallInfo, Refusal> {
     let name = chat.model.as_deref().filter(|m| !m.is_empty());
     let missing = Refusal::new(ResultCode::MissingModel, "the request names no model");
     let name = name.ok_or(missing)?;
@@ -203,20 +207,20 @@
     let model: ModelName = name.parse().map_err(|_| unknown.clone())?;
     let max_tokens = chat.max_completion_tokens.or(chat.max_tokens).map(Tokens);
     let explicit_name = chat.prompt_cache_key.as_deref();
-    let explicit_name = explicit_name.or_else(|| text(headers, &CHAT));
-    Ok(CallFacts {
-        asked: RoutingKey {
+    let explicit_name = explicit_name.or_else(|| text(headers, &CONVERSATION_ID));
+    Ok(CallInfo {
+        routing_key: RoutingKey {
             path: chat_path(&model, chat.stream),
-            ..facts.asked
+            ..facts.routing_key
         },
-        unknown,
-        prompt: prompt(&chat.messages, id),
+        no_route_refusal: unknown,
+        prompt: prompt_parts(&chat.messages, id),
         shared_parts: chat
             .messages
             .iter()
             .take_while(|m| m.role != "user")
             .count(),
-        chat: Some(conversation(explicit_name, &chat.messages)),
+        chat: Some(conversation_key(explicit_name, &chat.messages)),
         answer: max_tokens,
         ..facts
     })
@@ -224,14 +228,14 @@
 
 /// Returns a prompt part for each message together with the assistant's answer to it, because the target that
 /// read the message also generated the answer; and an empty part that only this request has.
-fn prompt(messages: &[WireMessage], id: Option<&str>) -> Vec<PromptPart> {
+fn prompt_parts(messages: &[WireMessage], id: Option<&str>) -> Vec<PromptPart> {
     let mut hash = Xxh3::new();
     let mut parts: Vec<PromptPart> = Vec::with_capacity(messages.len() + 1);
     for m in messages {
         let content = m.content.to_string();
         hash.update(m.role.as_bytes());
         hash.update(content.as_bytes());
-        let tokens = Tokens((content.len() / CHARS_PER_TOKEN) as u64 + 1);
+        let tokens = Tokens((content.len() / BYTES_PER_TOKEN) as u64 + 1);
         match parts.last_mut() {
             Some(question) if m.role == "assistant" => question.tokens += tokens,
             _ => parts.push(PromptPart {
@@ -249,7 +253,7 @@
 
 /// Returns the hash of an explicit name, or else of the messages up to the user's first one, which stay the
 /// same in later requests of the chat.
-fn conversation(explicit_name: Option<&str>, messages: &[WireMessage]) -> ConversationKey {
+fn conversation_key(explicit_name: Option<&str>, messages: &[WireMessage]) -> ConversationKey {
     if let Some(name) = explicit_name {
         return ConversationKey(xxh3_64(name.as_bytes()));
     }
@@ -268,7 +272,7 @@
     text(headers, &header::AUTHORIZATION)?.strip_prefix("Bearer ")
 }
 
-fn asked_rank(headers: &HeaderMap) -> Option<Rank> {
+fn requested_rank(headers: &HeaderMap) -> Option<Rank> {
     let requested: Priority = text(headers, &PRIORITY)?.parse().ok()?;
     Some(requested.rank())
 }
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -9,7 +9,7 @@
 pub(crate) const CODE_HEADER: &str = "x-scaleford-code";
 
 /// Header that holds the request's id.
-pub(crate) const REQUEST_HEADER: &str = "x-scaleford-request";
+pub(crate) const REQUEST_ID_HEADER: &str = "x-scaleford-request";
 
 #[derive(Serialize)]
 struct ErrorBody<'a> {
@@ -28,7 +28,7 @@
 }
 
 /// Creates a response with a complete body.
-pub(crate) fn whole(
+pub(crate) fn with_body(
     status: u16,
     content_type: &'static str,
     body: impl Into<bytes::Bytes>,
@@ -43,8 +43,8 @@
 /// Creates a response with a JSON body.
 pub(crate) fn json(status: u16, body: &impl Serialize) -> Response<AnswerBody> {
     match serde_json::to_vec(body) {
-        Ok(text) => whole(status, "application/json", text),
-        Err(e) => whole(500, "text/plain", format!("cannot encode body: {e}\n")),
+        Ok(text) => with_body(status, "application/json", text),
+        Err(e) => with_body(500, "text/plain", format!("cannot encode body: {e}\n")),
     }
 }
 
--- a/src/spans.rs
+++ b/src/spans.rs
@@ -40,7 +40,7 @@
     }
 
     /// Sets an attribute of the span.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         if let Some(cx) = &self.cx {
             cx.span().set_attribute(KeyValue::new(key, value));
         }
@@ -81,7 +81,7 @@
 
 impl Spans {
     /// Enables tracing: spans are propagated to targets, and exported to an OTLP endpoint if there is one.
-    pub fn on(endpoint: Option<&str>) -> Result<Self> {
+    pub fn enabled(endpoint: Option<&str>) -> Result<Self> {
         let builder = SdkTracerProvider::builder();
         let provider = match endpoint {
             None => builder.build(),
@@ -103,7 +103,7 @@
     }
 
     /// Starts the span of a hop, as a child of the trace context in the headers if there is one.
-    pub fn hop(&self, name: &'static str, call: &str, headers: &HeaderMap) -> HopSpan {
+    pub fn start_hop(&self, name: &'static str, call: &str, headers: &HeaderMap) -> HopSpan {
         let Some((_, tracer)) = &self.on else {
             return HopSpan { cx: None };
         };
@@ -120,12 +120,12 @@
     }
 
     /// Returns the number of spans that were started.
-    pub fn begun(&self) -> u64 {
+    pub fn started_count(&self) -> u64 {
         self.begun.get()
     }
 
     /// Exports the pending spans and shuts the exporter down.
-    pub fn flush(&self) -> Result<()> {
+    pub fn shut_down(&self) -> Result<()> {
         let Some((provider, _)) = &self.on else {
             return Ok(());
         };
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -80,7 +80,7 @@
             routes::{CallerRules, serving_config},
             serving::{CallKind, CallerLimits, Denied, RoutingKey, ServingConfig, StreamRepeats},
         },
-        dialect::{CallFacts, Dialect},
+        dialect::{CallInfo, Dialect},
         ids::Revision,
         openai::OpenAiDialect,
         units::Priority,
@@ -116,7 +116,7 @@
         serving_config(&fleet, Revision(4), &rules)
     }
 
-    fn read(method: &str, path: &str, body: &str) -> CallFacts {
+    fn read(method: &str, path: &str, body: &str) -> CallInfo {
         let req = hyper::Request::builder().method(method).uri(path);
         let (head, ()) = req
             .header("authorization", "Bearer secret")
@@ -124,7 +124,7 @@
             .unwrap()
             .into_parts();
         let body = body.to_owned().into();
-        OpenAiDialect.read_call(&head, &body, Some("a1")).unwrap()
+        OpenAiDialect.parse_call(&head, &body, Some("a1")).unwrap()
     }
 
     #[test]
@@ -133,13 +133,15 @@
             {"role": "system", "content": "Be kind."}, {"role": "user", "content": "Hello?"}]}"#;
         let facts = read("POST", "/v1/chat/completions", chat);
         assert_eq!((facts.prompt.len(), facts.shared_parts), (3, 1));
-        let (route, holder) = config().admit(&facts.asked, facts.key.as_deref()).unwrap();
+        let (route, holder) = config()
+            .admit(&facts.routing_key, facts.key.as_deref())
+            .unwrap();
         assert_eq!(route.kind, CallKind::Stream(StreamRepeats::UntilFirstEvent));
         assert!(route.kind.is_repeatable() && !route.kind.is_resumable());
         assert_eq!(holder.unwrap().limits.unwrap().concurrency, 3);
         let whole = chat.replace("true", "false");
         let facts = read("POST", "/v1/chat/completions", &whole);
-        let (route, _) = config().admit(&facts.asked, Some("secret")).unwrap();
+        let (route, _) = config().admit(&facts.routing_key, Some("secret")).unwrap();
         assert_eq!(route.kind, CallKind::Safe);
     }
 
@@ -173,7 +175,7 @@
     fn what_must_not_be_repeated_is_claimed_and_what_may_be_is_not() {
         let found = |method: &str, path: &str| {
             let facts = read(method, path, "");
-            let admitted = config().admit(&facts.asked, facts.key.as_deref());
+            let admitted = config().admit(&facts.routing_key, facts.key.as_deref());
             admitted.map(|(route, _)| (route.kind, route.claimed, route.timeout.as_millis()))
         };
         let claimed = Ok((CallKind::Unsafe, true, 700));
--- a/tests/decisions/streams.rs
+++ b/tests/decisions/streams.rs
@@ -23,7 +23,7 @@
         }
         let expected: Vec<_> = (1..30_u64).map(Some).zip(events).collect();
         prop_assert_eq!(seen, expected);
-        prop_assert!(!splitter.has_rest());
+        prop_assert!(!splitter.has_incomplete_event());
     }
 }
 
@@ -33,5 +33,5 @@
     splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b");
     assert_eq!(splitter.next_event().unwrap().unwrap().id, Some(1));
     assert_eq!(splitter.next_event().unwrap(), None);
-    assert!(splitter.has_rest());
+    assert!(splitter.has_incomplete_event());
 }
--- a/tests/support/hosted.rs
+++ b/tests/support/hosted.rs
@@ -11,7 +11,7 @@
     openai::OpenAiDialect,
     spans::Spans,
 };
-use scaleford_platform::{Follows, PlatformStore};
+use scaleford_platform::{PlatformStore, WatchScope};
 use tokio::sync::{mpsc, oneshot};
 
 type Question = Box<dyn FnOnce(&Gateway) + Send>;
@@ -131,9 +131,9 @@
     let listening = Gateway::listen(GatewayParts {
         cfg: cfg.gateway(),
         dialect: Rc::new(OpenAiDialect),
-        store: Rc::new(PlatformStore::new(cfg.platform, Follows::Own)),
+        store: Rc::new(PlatformStore::new(cfg.platform, WatchScope::OwnKeys)),
         clock: Clock::system(&log),
-        spans: Spans::on(None).expect("spans"),
+        spans: Spans::enabled(None).expect("spans"),
         log,
         flusher,
     });
