--- a/src/bin/scaleford/api.rs
+++ b/src/bin/scaleford/api.rs
@@ -13,7 +13,7 @@
 }
 
 /// Response of the router.
-pub(crate) struct Answer {
+pub(crate) struct ApiResponse {
     pub(crate) status: u16,
     pub(crate) body: Value,
 }
@@ -34,16 +34,16 @@
     }
 
     /// Sends a GET request.
-    pub(crate) fn get(&self, path: &str) -> Result<Answer, String> {
+    pub(crate) fn get(&self, path: &str) -> Result<ApiResponse, String> {
         self.call(Method::GET, path, String::new())
     }
 
     /// Sends a POST request.
-    pub(crate) fn post(&self, path: &str, body: String) -> Result<Answer, String> {
+    pub(crate) fn post(&self, path: &str, body: String) -> Result<ApiResponse, String> {
         self.call(Method::POST, path, body)
     }
 
-    fn call(&self, method: Method, path: &str, body: String) -> Result<Answer, String> {
+    fn call(&self, method: Method, path: &str, body: String) -> Result<ApiResponse, String> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
@@ -63,7 +63,7 @@
             let status = res.status().as_u16();
             let body = res.into_body().collect().await.map_err(|e| e.to_string())?;
             let body = serde_json::from_slice(&body.to_bytes()).map_err(|e| e.to_string())?;
-            Ok(Answer { status, body })
+            Ok(ApiResponse { status, body })
         })
     }
 }
--- a/src/bin/scaleford/main.rs
+++ b/src/bin/scaleford/main.rs
@@ -26,7 +26,8 @@
     match &flags.subcommand {
         ScalefordCmd::CheckConfig(check) => finish(check_config(&check.file, flags.json)),
         ScalefordCmd::Explain(e) if !e.log.is_empty() => finish(
-            logs::explain(&e.request, &e.log).map(|entries| show::told(flags.json, &entries)),
+            logs::explain(&e.request, &e.log)
+                .map(|entries| show::log_entries(flags.json, &entries)),
         ),
         _ => query_router(flags),
     }
@@ -43,7 +44,7 @@
 fn check_config(file: &str, as_json: bool) -> Result<ExitCode, String> {
     let text = read(file)?;
     let config: FleetConfig = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
-    Ok(show::faults(as_json, &config.validation_errors()))
+    Ok(show::config_errors(as_json, &config.validation_errors()))
 }
 
 fn query_router(flags: &flags::Scaleford) -> ExitCode {
@@ -56,7 +57,7 @@
     }
 }
 
-fn call(flags: &flags::Scaleford) -> Result<api::Answer, String> {
+fn call(flags: &flags::Scaleford) -> Result<api::ApiResponse, String> {
     let api = api::Api::from_flags(flags.operator.as_deref(), flags.token.as_deref())?;
     match &flags.subcommand {
         ScalefordCmd::Status(_) => api.get("/v1/status"),
--- a/src/bin/scaleford/show.rs
+++ b/src/bin/scaleford/show.rs
@@ -6,14 +6,14 @@
 use serde_json::Value;
 
 use crate::{
-    api::Answer,
+    api::ApiResponse,
     exit_code,
     flags::{IntentCmd, Scaleford, ScalefordCmd},
     logs::LogEntry,
 };
 
 /// Prints a response and returns the exit code.
-pub(crate) fn response(flags: &Scaleford, answer: &Answer) -> ExitCode {
+pub(crate) fn response(flags: &Scaleford, answer: &ApiResponse) -> ExitCode {
     let error = answer.body.get("error");
     let code = error
         .and_then(|e| e["number"].as_i64())
@@ -49,7 +49,7 @@
 }
 
 /// Prints the log lines that are relevant to a call; the exit code is 3 if there are none.
-pub(crate) fn told(as_json: bool, entries: &[LogEntry]) -> ExitCode {
+pub(crate) fn log_entries(as_json: bool, entries: &[LogEntry]) -> ExitCode {
     match as_json {
         true => println!("{}", serde_json::json!(entries)),
         false => entries.iter().for_each(|e| println!("{e}")),
@@ -64,7 +64,7 @@
 }
 
 /// Prints the errors of a configuration; the exit code is 1 if there are any.
-pub(crate) fn faults(as_json: bool, errors: &[String]) -> ExitCode {
+pub(crate) fn config_errors(as_json: bool, errors: &[String]) -> ExitCode {
     match as_json {
         true => println!("{}", serde_json::json!({ "faults": errors })),
         false if errors.is_empty() => println!("no errors"),
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -36,9 +36,9 @@
     /// Number of leading prompt parts that calls of other chats may begin with as well.
     pub shared_parts: usize,
     /// Chat that the call belongs to, if known.
-    pub chat: Option<ConversationKey>,
+    pub conversation: Option<ConversationKey>,
     /// Maximum number of tokens of the response, if the caller sets one.
-    pub answer: Option<Tokens>,
+    pub max_response_tokens: Option<Tokens>,
     /// Priority that the caller requests; it can't exceed the priority of the account's calls.
     pub rank: Option<Rank>,
     /// Key by which the caller identifies a call that must not run twice.
@@ -55,8 +55,8 @@
             last_event_id: None,
             prompt: Vec::new(),
             shared_parts: 0,
-            chat: None,
-            answer: None,
+            conversation: None,
+            max_response_tokens: None,
             rank: None,
             idempotency_key: None,
         }
@@ -99,7 +99,7 @@
     /// Client account that the call is made for.
     pub account: Option<&'a ClientAccountId>,
     /// Id of the last event that the caller already received.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Priority of the call.
     pub rank: Option<Rank>,
     /// Another target, from whose cache the prompt is fetched instead of being read again.
--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -149,7 +149,9 @@
         chat: chat_within(&facts, holder.as_ref()),
         answer: engine
             .and_then(|e| e.expected_response)
-            .map_or(Tokens(0), |expected| facts.answer.unwrap_or(expected)),
+            .map_or(Tokens(0), |expected| {
+                facts.max_response_tokens.unwrap_or(expected)
+            }),
         hash,
         engine,
         surge,
@@ -202,7 +204,7 @@
 }
 
 fn chat_within(facts: &CallInfo, holder: Option<&KeyOwner>) -> Option<crate::ids::ConversationKey> {
-    let chat = facts.chat?;
+    let chat = facts.conversation?;
     Some(holder.map_or(chat, |h| chat.within(&h.account)))
 }
 
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -318,7 +318,7 @@
         fetch_from: ticket.fetch_from.as_ref().map(|t| t.address),
         time_left: call.hold_until.since(now),
         account: call.holder.as_ref().map(|h| &h.account),
-        last_event: call.last_event,
+        last_event_id: call.last_event,
         rank: (!call.plan.prompt.is_empty()).then_some(call.rank),
     };
     let mut req = Request::new(Full::new(call.body.clone()));
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -220,8 +220,8 @@
             .iter()
             .take_while(|m| m.role != "user")
             .count(),
-        chat: Some(conversation_key(explicit_name, &chat.messages)),
-        answer: max_tokens,
+        conversation: Some(conversation_key(explicit_name, &chat.messages)),
+        max_response_tokens: max_tokens,
         ..facts
     })
 }
--- a/src/spans.rs
+++ b/src/spans.rs
@@ -22,8 +22,8 @@
 /// A router's spans. If tracing is disabled, it costs nothing and callers' trace headers are unchanged.
 #[derive(Default)]
 pub struct Spans {
-    on: Option<(SdkTracerProvider, SdkTracer)>,
-    begun: Cell<u64>,
+    tracer: Option<(SdkTracerProvider, SdkTracer)>,
+    started: Cell<u64>,
 }
 
 /// A span of one hop of a call, which ends when dropped.
@@ -97,14 +97,14 @@
         };
         let tracer = provider.tracer("scaleford");
         Ok(Self {
-            on: Some((provider, tracer)),
-            begun: Cell::new(0),
+            tracer: Some((provider, tracer)),
+            started: Cell::new(0),
         })
     }
 
     /// Starts the span of a hop, as a child of the trace context in the headers if there is one.
     pub fn start_hop(&self, name: &'static str, call: &str, headers: &HeaderMap) -> HopSpan {
-        let Some((_, tracer)) = &self.on else {
+        let Some((_, tracer)) = &self.tracer else {
             return HopSpan { cx: None };
         };
         let parent = TraceContextPropagator::new().extract(&HeaderReader(headers));
@@ -113,7 +113,7 @@
             .with_kind(SpanKind::Server)
             .with_attributes([KeyValue::new("request", call.to_owned())]);
         let span = tracer.build_with_context(builder, &parent);
-        self.begun.set(self.begun.get() + 1);
+        self.started.set(self.started.get() + 1);
         HopSpan {
             cx: Some(parent.with_span(span)),
         }
@@ -121,12 +121,12 @@
 
     /// Returns the number of spans that were started.
     pub fn started_count(&self) -> u64 {
-        self.begun.get()
+        self.started.get()
     }
 
     /// Exports the pending spans and shuts the exporter down.
     pub fn shut_down(&self) -> Result<()> {
-        let Some((provider, _)) = &self.on else {
+        let Some((provider, _)) = &self.tracer else {
             return Ok(());
         };
         let flushed = provider.shutdown();
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -157,13 +157,13 @@
         let more =
             r#", {"role": "assistant", "content": "Two."}, {"role": "user", "content": "Three?"}"#;
         let later = turn(more);
-        assert_eq!(first.chat, later.chat);
+        assert_eq!(first.conversation, later.conversation);
         // The beginning is the same; the answer counts with its question, where both were read.
         let (one, two) = (first.prompt[0], later.prompt[0]);
         assert_eq!(one.id, two.id);
         assert!(two.tokens > one.tokens);
         assert_eq!((first.prompt.len(), later.prompt.len()), (2, 3));
-        let named = later.chat.unwrap();
+        let named = later.conversation.unwrap();
         let account = |name: &str| name.parse().unwrap();
         assert_ne!(
             named.within(&account("farm")),
