--- a/src/edge/exchange.rs
+++ b/src/edge/exchange.rs
@@ -15,7 +15,7 @@
 };
 
 /// Maximum number of peers that one log line names.
-const PEERS_NAMED: usize = 4;
+const MAX_LOGGED_PEERS: usize = 4;
 
 /// Compares the known members with one other router after the other until the router ends.
 pub(super) async fn compare(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
@@ -54,7 +54,7 @@
     }
     let named: Vec<&str> = all_joined
         .iter()
-        .take(PEERS_NAMED)
+        .take(MAX_LOGGED_PEERS)
         .map(VmId::as_str)
         .collect();
     info!(cx.log, "peers joined"; "peers" => all_joined.len(), "first" => named.join(" "), "from" => %received.vm,
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -296,7 +296,7 @@
     pub(crate) fn store_age(&self) -> Option<Duration> {
         let now = self.now();
         let age = self.store_proven_at.get().map(|at| now.since(at));
-        age.filter(|age| *age < READS_STORE)
+        age.filter(|age| *age < STORE_READER_TTL)
     }
 
     /// Returns whether this router reads the store itself.
@@ -308,18 +308,18 @@
     /// `max_conns`.
     pub(crate) fn conn_share(&self, max_conns: u32) -> usize {
         let routers = self.peers.borrow().live_count(self.now());
-        let share = (max_conns as usize).saturating_mul(CONN_PART) / 100 / routers;
-        share.max(CONN_LEAST)
+        let share = (max_conns as usize).saturating_mul(CONN_USAGE_PERCENT) / 100 / routers;
+        share.max(MIN_CONNS_PER_TARGET)
     }
 }
 
 /// Maximum age of the store's last confirmation at which a router counts as reading the store: the wait
 /// of a watch, the pause after it, and some delay.
-const READS_STORE: Duration = Duration::from_millis(1_400);
+const STORE_READER_TTL: Duration = Duration::from_millis(1_400);
 
 /// Percentage of a target's connections that the fleet uses: routers may temporarily not know of one
 /// another.
-const CONN_PART: usize = 80;
+const CONN_USAGE_PERCENT: usize = 80;
 
 /// Minimum number of connections to a target that each router may have.
-const CONN_LEAST: usize = 2;
+const MIN_CONNS_PER_TARGET: usize = 2;
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -29,25 +29,25 @@
 
 /// Interval at which the count of recent calls is halved, so that the share of the retry budget follows
 /// approximately the last ten seconds without jumping.
-const CALLS_HALVE: Duration = Duration::from_secs(10);
+const CALL_COUNT_HALVING_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Maximum size in bytes of a datagram that is read: it fits the sums of some thousand targets, and is
 /// below the limit of UDP.
-const DATAGRAM_LIMIT: usize = 60 << 10;
+const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
 /// Time after its start during which a router does not send prompt parts to peers that join.
 ///
 /// The router itself has just received what it knows from others, and routers that start together would
 /// send all of it to one another. Afterwards, it repeats the announcements that it sent during this time:
 /// by then the routers of a fleet that started together have found one another, and their hubs.
-const TEACHES_AFTER: Duration = Duration::from_secs(3);
+const SYNC_START_DELAY: Duration = Duration::from_secs(3);
 
 /// Maximum number of prompt parts in one datagram, which take some kilobytes. A hub forwards the parts
 /// that all routers of its data hall announce, thousands in the first seconds of a day.
-const PARTS_TOLD: usize = 240;
+const MAX_PARTS_PER_DATAGRAM: usize = 240;
 
 /// Instants at which each kind of state was last sent.
-struct Told {
+struct LastSends {
     close: Instant,
     rates: RatesDue,
     is_young: bool,
@@ -59,7 +59,7 @@
 /// change, to all peers of a small fleet or to the hubs of a large one.
 pub(super) async fn tell(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
     let now = cx.now();
-    let mut last = Told {
+    let mut last = LastSends {
         close: now,
         rates: RatesDue::new(now),
         is_young: true,
@@ -76,11 +76,11 @@
             send_hints(&cx, &udp);
             continue;
         }
-        if now.since(last.calls_halved) >= CALLS_HALVE {
+        if now.since(last.calls_halved) >= CALL_COUNT_HALVING_INTERVAL {
             last.calls_halved = now;
             cx.recent_calls.set(cx.recent_calls.get() / 2);
         }
-        if last.is_young && now.0 >= TEACHES_AFTER {
+        if last.is_young && now.0 >= SYNC_START_DELAY {
             last.is_young = false;
             cx.dispatcher.borrow_mut().cache.announce_again();
         }
@@ -177,9 +177,11 @@
 
 /// Takes the announcements of prompt parts for the next datagram.
 fn news_of_prompts(cx: &Gateway) -> Vec<PartLocation> {
-    let young = cx.now().0 < TEACHES_AFTER;
+    let young = cx.now().0 < SYNC_START_DELAY;
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    dispatcher.cache.take_announcements(PARTS_TOLD, young)
+    dispatcher
+        .cache
+        .take_announcements(MAX_PARTS_PER_DATAGRAM, young)
 }
 
 /// Requests shares of the accounts' limits from the owners of the accounts.
@@ -192,12 +194,12 @@
 /// Sends a peer that joined all known prompt parts, if this router is responsible for that.
 pub(super) fn teach(cx: &Gateway, udp: &UdpSocket, joined: &VmId, address: SocketAddr) {
     let now = cx.now();
-    if now.0 < TEACHES_AFTER || !cx.peers.borrow_mut().take_sync_duty(now, joined) {
+    if now.0 < SYNC_START_DELAY || !cx.peers.borrow_mut().take_sync_duty(now, joined) {
         return;
     }
     info!(cx.log, "prompts sent to peer"; "peer" => %joined);
     let parts = cx.dispatcher.borrow().cache.shared_parts();
-    for chunk in parts.chunks(PARTS_TOLD) {
+    for chunk in parts.chunks(MAX_PARTS_PER_DATAGRAM) {
         let outgoing = datagram(cx, chunk.to_vec());
         send_to(cx, udp, &outgoing, address);
     }
@@ -271,7 +273,7 @@
 
 /// Receives datagrams until the router ends.
 pub(super) async fn receive(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
-    let mut buf = vec![0; DATAGRAM_LIMIT];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, from)) = udp.recv_from(&mut buf).await else {
             // The system reports a peer's closed port as an error here; it concerns only that peer.
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -17,21 +17,21 @@
 
 /// Pause after a connection could not be accepted, most likely because the process is out of file
 /// descriptors.
-pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Time by which a caller's connection may exceed the idle timeout before it is closed, so that callers
 /// that keep to the timeout never encounter the close.
-const IDLE_SLACK: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(500);
 
 /// Interval at which a connection is checked for the idle timeout, which may change meanwhile.
-const IDLE_CHECK: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Minimum buffer size in bytes that the server side of the HTTP library accepts.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Maximum time for a request head to arrive on a connection that was just opened or is idle. The idle
 /// time is limited separately.
-const LONGEST_HEAD: Duration = Duration::from_mins(2);
+const MAX_HEADER_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Accepts connections of callers until the process ends.
 pub(super) async fn serve_callers(cx: Rc<Gateway>, listener: TcpListener) {
@@ -39,7 +39,7 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             warn!(cx.log, "caller connection not accepted"; "open" => open.get());
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if open.get() >= cx.cfg.max_connections {
@@ -57,7 +57,7 @@
 
 /// Whether a connection has a call in progress, and since when it is idle.
 #[derive(Default)]
-struct Rest {
+struct ConnActivity {
     busy: Cell<bool>,
     since: Cell<crate::units::Instant>,
     ended: Notify,
@@ -66,7 +66,7 @@
 async fn serve_caller(cx: Rc<Gateway>, stream: TcpStream) {
     prepare(&stream);
     let limits = cx.caller_limits();
-    let activity = Rc::new(Rest::default());
+    let activity = Rc::new(ConnActivity::default());
     activity.since.set(cx.now());
     let service = {
         let (cx, activity) = (Rc::clone(&cx), Rc::clone(&activity));
@@ -84,8 +84,8 @@
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(LONGEST_HEAD)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .header_read_timeout(MAX_HEADER_TIMEOUT)
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -98,16 +98,16 @@
 }
 
 /// Waits until the connection exceeds the idle timeout, or until a planned stop closes it.
-async fn until_rested(cx: &Gateway, activity: &Rest) {
+async fn until_rested(cx: &Gateway, activity: &ConnActivity) {
     loop {
         let pause = match cx.phase() {
-            Phase::Serving => IDLE_CHECK,
-            _ => IDLE_CHECK / 10,
+            Phase::Serving => IDLE_CHECK_INTERVAL,
+            _ => IDLE_CHECK_INTERVAL / 10,
         };
         tokio::time::sleep(pause).await;
         let limits = cx.caller_limits();
         let idle = cx.now().since(activity.since.get());
-        let max_idle = limits.idle_timeout + IDLE_SLACK;
+        let max_idle = limits.idle_timeout + IDLE_TIMEOUT_SLACK;
         if activity.busy.get() {
             continue;
         }
@@ -139,7 +139,7 @@
     let answer = Rc::new(answer);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = Rc::clone(&answer);
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -18,7 +18,7 @@
 use crate::{Error, Result};
 
 /// A gateway whose sockets are open but not served yet.
-pub struct Listening {
+pub struct ListeningGateway {
     gateway: Rc<Gateway>,
     callers: TcpListener,
     ready: Option<TcpListener>,
@@ -28,7 +28,7 @@
     udp: UdpSocket,
 }
 
-impl Listening {
+impl ListeningGateway {
     /// Returns the gateway. Its settings contain the ports that the system assigned in place of 0.
     pub fn gateway(&self) -> Rc<Gateway> {
         Rc::clone(&self.gateway)
@@ -69,7 +69,7 @@
     /// Opens the sockets that the settings specify.
     ///
     /// Fails if one of the addresses can't be listened on, except for that of the metrics.
-    pub async fn listen(mut parts: GatewayParts) -> Result<Listening> {
+    pub async fn listen(mut parts: GatewayParts) -> Result<ListeningGateway> {
         let cfg = &mut parts.cfg;
         let callers = listen(&mut cfg.callers).await?;
         let ready = match &mut cfg.ready {
@@ -86,7 +86,7 @@
         };
         let peers = listen(&mut cfg.peers).await?;
         let udp = UdpSocket::bind(cfg.peers).await?;
-        Ok(Listening {
+        Ok(ListeningGateway {
             gateway: Self::new(parts),
             callers,
             ready,
@@ -99,11 +99,11 @@
 }
 
 /// Interval at which expired state is dropped and buffered log lines are written out.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 async fn tick(cx: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         if let Some(suspended_for) = cx.clock.on_tick() {
             warn!(cx.log, "suspended"; "for_ms" => suspended_for.as_millis() as u64);
         }
--- a/src/edge/metrics.rs
+++ b/src/edge/metrics.rs
@@ -12,7 +12,8 @@
 
 /// Upper bounds of the histogram buckets in seconds, from the typical duration of a plain call to the
 /// longest deadline.
-const BUCKETS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0];
+const BUCKET_BOUNDS_SECONDS: [f64; 11] =
+    [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0];
 
 /// Label for the result of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -72,10 +73,10 @@
             store_calls: Family::default(),
             withdrawn: Family::default(),
             slot_held_ms: Family::default(),
-            refused_pause: Histogram::new(BUCKETS),
-            counts_age: Histogram::new(BUCKETS),
-            call_time: Histogram::new(BUCKETS),
-            first_event_time: Histogram::new(BUCKETS),
+            refused_pause: Histogram::new(BUCKET_BOUNDS_SECONDS),
+            counts_age: Histogram::new(BUCKET_BOUNDS_SECONDS),
+            call_time: Histogram::new(BUCKET_BOUNDS_SECONDS),
+            first_event_time: Histogram::new(BUCKET_BOUNDS_SECONDS),
             connections_opened: Counter::default(),
             entries_unusable: Counter::default(),
             halls_evacuated: Gauge::default(),
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -39,7 +39,7 @@
 
 pub(crate) use body::AnswerBody;
 pub use gateway::{Gateway, GatewayParts};
-pub use listening::Listening;
+pub use listening::ListeningGateway;
 pub use stop::{Signals, StopReport};
 
 use crate::{
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -8,7 +8,7 @@
 use subtle::ConstantTimeEq;
 use tokio::net::TcpListener;
 
-use super::{body::AnswerBody, confirm, gateway::Gateway, ingress::ACCEPT_PAUSE, view};
+use super::{body::AnswerBody, confirm, gateway::Gateway, ingress::ACCEPT_RETRY_DELAY, view};
 use crate::{
     config::ConfigLog,
     intent::{self, IntentError, Plan},
@@ -18,13 +18,13 @@
 };
 
 /// Maximum size in bytes of a request body that an operator may send.
-const BODY_LIMIT: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Accepts connections of operators until the router ends.
 pub(super) async fn serve(cx: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let service_cx = Rc::clone(&cx);
@@ -83,7 +83,9 @@
 
 async fn body(req: Request<Incoming>) -> Result<Vec<u8>, IntentError> {
     let error = || IntentError::new(ResultCode::BodyTooLarge, "the body was not taken");
-    let body = Limited::new(req.into_body(), BODY_LIMIT).collect().await;
+    let body = Limited::new(req.into_body(), MAX_BODY_BYTES)
+        .collect()
+        .await;
     Ok(body.map_err(|_| error())?.to_bytes().to_vec())
 }
 
--- a/src/edge/stop.rs
+++ b/src/edge/stop.rs
@@ -12,13 +12,13 @@
 use crate::lifecycle::RouterEvent;
 
 /// Fraction of the stop's maximum duration after which remaining calls are cut off.
-const LAST_PART: f64 = 0.95;
+const CUT_OFF_FRACTION: f64 = 0.95;
 
 /// Interval at which a stop checks whether calls are still in progress.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time for which a stop waits for the last log lines to be written out.
-const LAST_LINES: Duration = Duration::from_millis(50);
+const LOG_WRITE_DELAY: Duration = Duration::from_millis(50);
 
 /// Signals that the process receives from outside.
 pub struct Signals {
@@ -56,12 +56,12 @@
     cx.on_life(RouterEvent::BalancerNotified);
     let in_progress = cx.in_progress.get() as u64;
     gossip::send_to_all(cx, udp, &[]);
-    let limit = cx.rules.get().stop_time.mul_f64(LAST_PART);
+    let limit = cx.rules.get().stop_time.mul_f64(CUT_OFF_FRACTION);
     while cx.in_progress.get() > 0 && cx.now().since(began) < limit {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
     // Within this time idle connections close, and the system sends what is left in the sockets.
-    tokio::time::sleep(LOOK_EVERY * 10).await;
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL * 10).await;
     cx.on_life(RouterEvent::Finished);
     let report = StopReport {
         in_progress,
@@ -73,6 +73,6 @@
         info!(cx.log, "spans not sent"; "why" => %e);
     }
     cx.flusher.flush();
-    tokio::time::sleep(LAST_LINES).await;
+    tokio::time::sleep(LOG_WRITE_DELAY).await;
     report
 }
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -40,7 +40,7 @@
     routers: Vec<Member>,
     targets: Vec<TargetStatus>,
     evacuated: Vec<EvacuatedHall>,
-    held_back: Vec<HeldRequest>,
+    held_back: Vec<QuarantinedRequest>,
 }
 
 /// A data hall whose targets receive no calls.
@@ -53,7 +53,7 @@
 
 /// A request that is sent to no target because targets crashed under it.
 #[derive(Serialize)]
-struct HeldRequest {
+struct QuarantinedRequest {
     fingerprint: String,
     /// Remaining time of the quarantine in milliseconds.
     for_ms: u64,
@@ -61,14 +61,14 @@
 
 /// Withdrawal of a target, which stated in a response that it accepts no calls.
 #[derive(Serialize)]
-struct TargetWithdrawn {
+struct TargetWithdrawal {
     /// Time in milliseconds since the withdrawal.
     since_ms: u64,
     /// Remaining time of the withdrawal in milliseconds; `null` if the target is leaving.
     left_ms: Option<u64>,
 }
 
-impl From<Withdrawn> for TargetWithdrawn {
+impl From<Withdrawn> for TargetWithdrawal {
     fn from(withdrawn: Withdrawn) -> Self {
         Self {
             since_ms: withdrawn.age.as_millis() as u64,
@@ -85,7 +85,7 @@
     /// Status of the target's health.
     standing: HealthStatus,
     /// Withdrawal of the target, if it accepts no calls.
-    withdrawn: Option<TargetWithdrawn>,
+    withdrawn: Option<TargetWithdrawal>,
     /// Number of calls of all routers in progress at the target.
     calls: u32,
     /// Number of calls in progress relative to the mean of the target's pool, taken as at least 1.
@@ -97,7 +97,7 @@
 }
 
 #[derive(Serialize)]
-struct Explained {
+struct Explanation {
     request: String,
     decisions: Vec<DecisionRecord>,
 }
@@ -147,14 +147,14 @@
     shown.collect()
 }
 
-fn held_back(cx: &Gateway) -> Vec<HeldRequest> {
+fn held_back(cx: &Gateway) -> Vec<QuarantinedRequest> {
     let dispatcher = cx.dispatcher.borrow();
     let quarantined = dispatcher.quarantine.quarantined(cx.now());
-    let shown = quarantined.map(|(request, left)| HeldRequest {
+    let shown = quarantined.map(|(request, left)| QuarantinedRequest {
         fingerprint: request.to_string(),
         for_ms: left.as_millis() as u64,
     });
-    let mut shown: Vec<HeldRequest> = shown.collect();
+    let mut shown: Vec<QuarantinedRequest> = shown.collect();
     shown.sort_by(|a, b| a.fingerprint.cmp(&b.fingerprint));
     shown
 }
@@ -208,7 +208,7 @@
         true => reply::error(ResultCode::NotFound, "no router remembers the request"),
         false => reply::json(
             200,
-            &Explained {
+            &Explanation {
                 request: id.to_owned(),
                 decisions,
             },
