--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -132,7 +132,7 @@
     let spec = config.service(&service);
     let engine = spec.and_then(|s| s.engine);
     cx.count_call(received, &service);
-    cx.note(id.as_deref().unwrap_or_default(), || Decision::Received {
+    cx.record_decision(id.as_deref().unwrap_or_default(), || Decision::Received {
         account: holder
             .as_ref()
             .map_or_else(String::new, |h| h.account.to_string()),
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -175,7 +175,7 @@
         cx.metrics.on_choice(ticket.counted_ago);
         call.plan.tried.push(target.id.clone());
         let place = Place::new(cx, call, now, ticket);
-        cx.note(call.id(), || Decision::Tried {
+        cx.record_decision(call.id(), || Decision::Tried {
             target: target.id.clone(),
             calls: place.ticket.calls,
             missing: place.ticket.missing.0,
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -239,7 +239,7 @@
     {
         return false;
     }
-    let share = cx.usable_share(now);
+    let share = cx.usable_retry_share(now);
     let mut dispatcher = cx.dispatcher.borrow_mut();
     let taken = dispatcher.budget.take(now, &call.plan.service, share);
     info!(cx.log, "repeat"; "id" => call.id(), "why" => failed.end.name(), "allowed" => taken,
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -128,7 +128,7 @@
         let now = self.cx.now();
         let took = now.since(self.received);
         self.cx.metrics.on_call(end.name, end.number, took);
-        self.cx.note(&self.id, || Decision::Ended {
+        self.cx.record_decision(&self.id, || Decision::Ended {
             code: end.number,
             why: end.why.to_owned(),
         });
@@ -239,7 +239,7 @@
     let (service, time_left) = (&call.plan.service, call.hold_until.since(now));
     let dispatcher = cx.dispatcher.borrow();
     let retry_after = dispatcher.retry_after(now, service, time_left, rand::random());
-    cx.metrics.on_no_room(retry_after);
+    cx.metrics.on_capacity_refused(retry_after);
     let capacity = dispatcher.admission.capacity_estimate(now, service);
     let backoff = dispatcher.backoff_remaining(now, service);
     let ms = |d: Duration| d.as_millis() as u64;
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -53,7 +53,7 @@
     if is_irrelevant {
         return;
     }
-    let mut broken_off = cx.endings.broken_off.borrow_mut();
+    let mut broken_off = cx.crash_checks.broken_off.borrow_mut();
     let at_target = broken_off.entry(target.id.clone()).or_default();
     at_target.push(BrokenOff {
         call: call.to_owned(),
@@ -67,7 +67,7 @@
 async fn look_at(cx: Rc<Gateway>, target: Rc<TargetRecord>) {
     let opened = cx.conns.open(&target.id, target.address, usize::MAX);
     let opened = opened.await;
-    let broken_off = cx.endings.broken_off.borrow_mut().remove(&target.id);
+    let broken_off = cx.crash_checks.broken_off.borrow_mut().remove(&target.id);
     let broken_off = broken_off.unwrap_or_default();
     match opened {
         Ok(conn) => keep(&cx, conn),
@@ -100,7 +100,7 @@
             "calls" => broken_off.len());
         log_change(cx, *request, change, "targets crashed here");
         if change.is_some() {
-            cx.endings.unsaved.notify_one();
+            cx.crash_checks.unsaved.notify_one();
         }
     }
 }
@@ -166,7 +166,7 @@
         peers.is_owner_of(now, &request.to_string())
     };
     if (cx.dispatcher.borrow_mut().quarantine).mark_unsaved(is_owner) {
-        cx.endings.unsaved.notify_one();
+        cx.crash_checks.unsaved.notify_one();
     }
 }
 
@@ -178,7 +178,7 @@
     let time_left = quarantine.time_left(now, request)?;
     quarantine.on_refused(now, request);
     if !quarantine.unsaved().is_empty() {
-        cx.endings.unsaved.notify_one();
+        cx.crash_checks.unsaved.notify_one();
     }
     Some(time_left)
 }
@@ -197,7 +197,7 @@
     };
     let dispatcher = cx.dispatcher.borrow();
     let quarantined = dispatcher.quarantine.quarantined(cx.now()).count();
-    cx.metrics.held_requests.set(quarantined as i64);
+    cx.metrics.quarantined_requests.set(quarantined as i64);
     info!(cx.log, "request"; "fingerprint" => %request, "verdict" => outcome, "why" => why,
         "held_back" => quarantined, "suspects" => dispatcher.quarantine.suspect_count());
 }
@@ -207,7 +207,7 @@
     loop {
         let unsaved = cx.dispatcher.borrow().quarantine.unsaved();
         if unsaved.is_empty() {
-            cx.endings.unsaved.notified().await;
+            cx.crash_checks.unsaved.notified().await;
             continue;
         }
         for request in unsaved {
--- a/src/edge/exchange.rs
+++ b/src/edge/exchange.rs
@@ -18,7 +18,7 @@
 const MAX_LOGGED_PEERS: usize = 4;
 
 /// Compares the known members with one other router after the other until the router ends.
-pub(super) async fn compare(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
+pub(super) async fn run_comparisons(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
     loop {
         let (to, step) = {
             let mut peers = cx.peers.borrow_mut();
@@ -63,13 +63,13 @@
         let address = cx.peers.borrow().address_of(vm);
         address
             .into_iter()
-            .for_each(|a| gossip::teach(cx, udp, vm, a));
+            .for_each(|a| gossip::sync_peer(cx, udp, vm, a));
     }
 }
 
 /// Sends one step of a comparison.
 fn send(cx: &Gateway, udp: &UdpSocket, step: Exchange, echo: Option<Stamp>, to: SocketAddr) {
-    let mut outgoing = gossip::datagram(cx, Vec::new());
+    let mut outgoing = gossip::new_datagram(cx, Vec::new());
     outgoing.exchange = Some(step);
     outgoing.echo = echo;
     gossip::send_to(cx, udp, &outgoing, to);
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -81,7 +81,7 @@
         let log = cx.fleet.log.borrow();
         (log.revision(), Arc::clone(log.config()))
     };
-    let serving = routes::serving_config(&config, revision, &cx.cfg.callers_rules);
+    let serving = routes::serving_config(&config, revision, &cx.cfg.caller_rules);
     let at = serving.revision;
     let applied = cx.apply(serving);
     let targets = routes::target_records(&config);
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -87,7 +87,7 @@
     fn read_state(&self) -> ReadState {
         ReadState {
             listed: self.listed,
-            store_lost: self.cx.store_lost_at.get().is_some(),
+            store_lost: self.cx.store_unavailable_since.get().is_some(),
             reads_store: self.cx.reads_store(),
             revision: self.cx.mirror.borrow().revision(),
             start: self.cx.cfg.start,
@@ -189,7 +189,7 @@
     async fn read(&mut self) {
         let sent = self.cx.now();
         let after = self.cx.mirror.borrow().revision();
-        let unseen = match self.cx.cfg.own_config {
+        let unseen = match self.cx.cfg.uses_operator_config {
             true => fleet::unseen_changes(&self.cx),
             false => Vec::new(),
         };
@@ -231,8 +231,8 @@
                 return;
             }
         }
-        if let Some(lost_at) = cx.store_lost_at.take() {
-            cx.store_back_at.set(Some(now));
+        if let Some(lost_at) = cx.store_unavailable_since.take() {
+            cx.store_regained_at.set(Some(now));
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
             discovery.on_store_available(now, Duration::ZERO);
             let outage_ms = now.since(lost_at).as_millis() as u64;
@@ -257,7 +257,7 @@
         cx.freshness
             .borrow_mut()
             .on_confirmed(confirmed_at, cx.stored_config());
-        cx.store_proven_at.set(Some(confirmed_at));
+        cx.store_confirmed_at.set(Some(confirmed_at));
         if !is_empty && !is_list {
             tokio::time::sleep(WATCH_PAUSE).await;
         }
@@ -266,8 +266,8 @@
     fn on_failure(&mut self, e: &StoreError) {
         let cx = &self.cx;
         let now = cx.now();
-        if cx.store_lost_at.get().is_none() {
-            cx.store_lost_at.set(Some(now));
+        if cx.store_unavailable_since.get().is_none() {
+            cx.store_unavailable_since.set(Some(now));
             let age = cx.freshness.borrow().age(now);
             warn!(cx.log, "dependency lost"; "dependency" => "store", "why" => %e,
                 "config_age_ms" => age.map(|a| a.as_millis() as u64));
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -66,7 +66,7 @@
     pub(crate) fleet: Fleet,
     pub(crate) accounts: Accounts,
     pub(crate) claims: ClaimKeeper,
-    pub(crate) endings: Endings,
+    pub(crate) crash_checks: Endings,
     pub(crate) explain: ExplainRing,
     pub(crate) rules: Cell<Rules>,
     pub(crate) in_progress: Cell<usize>,
@@ -74,20 +74,20 @@
     fleet_share: RefCell<FleetShare>,
     pub(crate) datagram_count: Cell<u64>,
     /// Whether this router aggregates counts for its data hall.
-    pub(crate) adds_up: Cell<bool>,
+    pub(crate) is_aggregator: Cell<bool>,
     pub(crate) mirror: RefCell<StoreMirror>,
     /// Wakes requests of peers that wait for a newer state of the mirror.
     pub(crate) mirror_changed: Notify,
     pub(super) answers: RefCell<Answers>,
     /// Instant since which the store has not answered this router; `None` while it answers.
-    pub(crate) store_lost_at: Cell<Option<Instant>>,
+    pub(crate) store_unavailable_since: Cell<Option<Instant>>,
     /// Wakes calls that wait for the first configuration.
     pub(crate) config_arrived: Notify,
     /// Instant at which the store last became available again.
-    pub(crate) store_back_at: Cell<Option<Instant>>,
+    pub(crate) store_regained_at: Cell<Option<Instant>>,
     /// Latest instant at which the store is known to have held the contents of the mirror.
-    pub(crate) store_proven_at: Cell<Option<Instant>>,
-    life: RefCell<RouterLifecycle>,
+    pub(crate) store_confirmed_at: Cell<Option<Instant>>,
+    lifecycle: RefCell<RouterLifecycle>,
     serving: RefCell<Option<Rc<ServingConfig>>>,
     /// Version of the operators' configuration that the store was last known to hold.
     pub(super) stored_config: Cell<Option<ConfigVersion>>,
@@ -115,7 +115,7 @@
         let peers = Peers::new(
             cfg.vm.clone(),
             cfg.data_hall.clone(),
-            cfg.strength,
+            cfg.capacity,
             Incarnation(wall_epoch_ms),
             cfg.peers,
             &cfg.seeds,
@@ -130,23 +130,23 @@
             mirror: RefCell::default(),
             mirror_changed: Notify::new(),
             answers: RefCell::default(),
-            store_lost_at: Cell::new(None),
+            store_unavailable_since: Cell::new(None),
             config_arrived: Notify::new(),
-            store_back_at: Cell::new(None),
-            store_proven_at: Cell::new(None),
+            store_regained_at: Cell::new(None),
+            store_confirmed_at: Cell::new(None),
             fleet: Fleet::default(),
             accounts: Accounts::default(),
             claims: ClaimKeeper::new(Rc::clone(&store)),
-            endings: Endings::default(),
-            explain: ExplainRing::new(cfg.explain_kept),
+            crash_checks: Endings::default(),
+            explain: ExplainRing::new(cfg.max_explained_decisions),
             conns: Rc::default(),
             metrics: Metrics::default(),
-            life: RefCell::default(),
+            lifecycle: RefCell::default(),
             in_progress: Cell::new(0),
             recent_calls: Cell::new(0),
             fleet_share: RefCell::default(),
             datagram_count: Cell::new(0),
-            adds_up: Cell::new(false),
+            is_aggregator: Cell::new(false),
             clock,
             wall_epoch_ms,
             cfg,
@@ -213,22 +213,22 @@
     }
 
     /// Returns the incarnation of this VM's router.
-    pub(crate) fn life_number(&self) -> Incarnation {
+    pub(crate) fn incarnation(&self) -> Incarnation {
         Incarnation(self.wall_epoch_ms)
     }
 
     /// Returns the phase of the router's lifecycle.
     pub(crate) fn phase(&self) -> Phase {
-        self.life.borrow().phase()
+        self.lifecycle.borrow().phase()
     }
 
     /// Advances the router's lifecycle by an event of a planned stop.
-    pub(crate) fn on_life(&self, event: RouterEvent) {
-        self.life.borrow_mut().handle(event);
+    pub(crate) fn on_lifecycle_event(&self, event: RouterEvent) {
+        self.lifecycle.borrow_mut().handle(event);
     }
 
     /// Records a decision on a call for `explain`.
-    pub(crate) fn note(&self, call: &str, decision: impl FnOnce() -> Decision) {
+    pub(crate) fn record_decision(&self, call: &str, decision: impl FnOnce() -> Decision) {
         let at_ms = self.wall_epoch_ms + self.now().0.as_millis() as u64;
         self.explain.record(at_ms, call, decision);
     }
@@ -240,7 +240,7 @@
 
     /// Returns the version of the configuration that the store holds, as far as this router knows.
     pub(crate) fn stored_config(&self) -> Option<ConfigVersion> {
-        match self.cfg.own_config {
+        match self.cfg.uses_operator_config {
             true => Some(ConfigVersion(fleet::newest_stored(self).0)),
             false => self.stored_config.get(),
         }
@@ -249,7 +249,7 @@
     /// Returns the limits on what callers may send.
     pub(crate) fn caller_limits(&self) -> CallerLimits {
         let serving = self.serving();
-        serving.map_or(self.cfg.callers_rules.limits, |c| c.limits)
+        serving.map_or(self.cfg.caller_rules.limits, |c| c.limits)
     }
 
     /// Applies a configuration if it is newer than the one in force, and returns whether it was applied.
@@ -283,7 +283,7 @@
     }
 
     /// Returns this router's share of the fleet's retry budget.
-    pub(crate) fn usable_share(&self, now: Instant) -> f64 {
+    pub(crate) fn usable_retry_share(&self, now: Instant) -> f64 {
         let window = self.rules.get().budget.window;
         let share = self.peers.borrow().call_share(now, self.recent_calls.get());
         let mut fleet_share = self.fleet_share.borrow_mut();
@@ -295,13 +295,13 @@
     /// old for a router that reads the store itself.
     pub(crate) fn store_age(&self) -> Option<Duration> {
         let now = self.now();
-        let age = self.store_proven_at.get().map(|at| now.since(at));
+        let age = self.store_confirmed_at.get().map(|at| now.since(at));
         age.filter(|age| *age < STORE_READER_TTL)
     }
 
     /// Returns whether this router reads the store itself.
     pub(crate) fn reads_store(&self) -> bool {
-        self.store_lost_at.get().is_none() && self.store_age().is_some()
+        self.store_unavailable_since.get().is_none() && self.store_age().is_some()
     }
 
     /// Returns the number of connections to one target that this router may have, if the fleet may have
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -48,21 +48,21 @@
 
 /// Instants at which each kind of state was last sent.
 struct LastSends {
-    close: Instant,
+    state: Instant,
     rates: RatesDue,
-    is_young: bool,
+    in_start_delay: bool,
     calls_halved: Instant,
     shares: Instant,
 }
 
 /// Sends counts, announcements of prompt parts and the age of the configuration periodically as they
 /// change, to all peers of a small fleet or to the hubs of a large one.
-pub(super) async fn tell(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
+pub(super) async fn send_updates(cx: Rc<Gateway>, udp: Rc<UdpSocket>) {
     let now = cx.now();
     let mut last = LastSends {
-        close: now,
+        state: now,
         rates: RatesDue::new(now),
-        is_young: true,
+        in_start_delay: true,
         calls_halved: now,
         shares: now,
     };
@@ -80,32 +80,32 @@
             last.calls_halved = now;
             cx.recent_calls.set(cx.recent_calls.get() / 2);
         }
-        if last.is_young && now.0 >= SYNC_START_DELAY {
-            last.is_young = false;
+        if last.in_start_delay && now.0 >= SYNC_START_DELAY {
+            last.in_start_delay = false;
             cx.dispatcher.borrow_mut().cache.announce_again();
         }
         if now.since(last.shares) >= SHARE_INTERVAL {
             last.shares = now;
-            ask_for_shares(&cx, &udp);
+            request_shares(&cx, &udp);
         }
         let is_large = {
             let peers = cx.peers.borrow();
             let is_large = peers.is_large(now);
-            cx.adds_up.set(is_large && peers.is_aggregator(now));
+            cx.is_aggregator.set(is_large && peers.is_aggregator(now));
             is_large
         };
         let changed = cx.dispatcher.borrow_mut().load.take_changed();
-        let due = changed || now.since(last.close) >= HEARTBEAT_INTERVAL;
+        let due = changed || now.since(last.state) >= HEARTBEAT_INTERVAL;
         match is_large {
             false if due => {
-                last.close = now;
+                last.state = now;
                 let rates = last.rates.take(&cx, now);
                 send_to_all(&cx, &udp, &rates.own);
             }
-            true if due || cx.adds_up.get() => {
-                last.close = now;
+            true if due || cx.is_aggregator.get() => {
+                last.state = now;
                 let rates = last.rates.take(&cx, now);
-                send_to_close_ones(&cx, &udp, &rates);
+                send_to_frequent_receivers(&cx, &udp, &rates);
             }
             _ => {}
         }
@@ -116,7 +116,7 @@
 /// everything else is sent through hubs.
 pub(super) fn send_to_all(cx: &Gateway, udp: &UdpSocket, rates: &[RateReport]) {
     let is_large = cx.peers.borrow().is_large(cx.now());
-    let mut outgoing = datagram(cx, news_of_prompts(cx));
+    let mut outgoing = new_datagram(cx, take_prompt_announcements(cx));
     outgoing.load = (!is_large).then(|| cx.dispatcher.borrow_mut().load.own_counts());
     outgoing.rates = rates.to_vec();
     for to in cx.peers.borrow().all_receivers() {
@@ -127,10 +127,10 @@
 
 /// Sends a datagram to the hubs. If this router aggregates for its data hall, sends the sums to all
 /// routers that need them, with digests of the live routers and rates of the accounts.
-fn send_to_close_ones(cx: &Gateway, udp: &UdpSocket, rates: &Rates) {
+fn send_to_frequent_receivers(cx: &Gateway, udp: &UdpSocket, rates: &Rates) {
     let now = cx.now();
-    let mut outgoing = datagram(cx, news_of_prompts(cx));
-    let (sums, digests) = match cx.adds_up.get() {
+    let mut outgoing = new_datagram(cx, take_prompt_announcements(cx));
+    let (sums, digests) = match cx.is_aggregator.get() {
         true => {
             let mut peers = cx.peers.borrow_mut();
             let changes = peers.recent_changes(now);
@@ -162,13 +162,13 @@
 /// Sends hints of prompt parts, outages and requests under which targets crashed ahead of counts, if
 /// there are any.
 fn send_hints(cx: &Gateway, udp: &UdpSocket) {
-    let hints = news_of_prompts(cx);
+    let hints = take_prompt_announcements(cx);
     let outages = (cx.dispatcher.borrow_mut().health.outages).take_unannounced();
     let crashes = (cx.dispatcher.borrow_mut().quarantine).take_unannounced();
     if hints.is_empty() && !outages && !crashes {
         return;
     }
-    let mut outgoing = datagram(cx, hints);
+    let mut outgoing = new_datagram(cx, hints);
     for to in cx.peers.borrow().frequent_receivers(cx.now()) {
         outgoing.echo = to.echo;
         send_to(cx, udp, &outgoing, to.address);
@@ -176,7 +176,7 @@
 }
 
 /// Takes the announcements of prompt parts for the next datagram.
-fn news_of_prompts(cx: &Gateway) -> Vec<PartLocation> {
+fn take_prompt_announcements(cx: &Gateway) -> Vec<PartLocation> {
     let young = cx.now().0 < SYNC_START_DELAY;
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher
@@ -185,14 +185,14 @@
 }
 
 /// Requests shares of the accounts' limits from the owners of the accounts.
-fn ask_for_shares(cx: &Gateway, udp: &UdpSocket) {
+fn request_shares(cx: &Gateway, udp: &UdpSocket) {
     for (owner, request) in accounts::asks(cx) {
         send_message(cx, udp, &request, owner);
     }
 }
 
 /// Sends a peer that joined all known prompt parts, if this router is responsible for that.
-pub(super) fn teach(cx: &Gateway, udp: &UdpSocket, joined: &VmId, address: SocketAddr) {
+pub(super) fn sync_peer(cx: &Gateway, udp: &UdpSocket, joined: &VmId, address: SocketAddr) {
     let now = cx.now();
     if now.0 < SYNC_START_DELAY || !cx.peers.borrow_mut().take_sync_duty(now, joined) {
         return;
@@ -200,7 +200,7 @@
     info!(cx.log, "prompts sent to peer"; "peer" => %joined);
     let parts = cx.dispatcher.borrow().cache.shared_parts();
     for chunk in parts.chunks(MAX_PARTS_PER_DATAGRAM) {
-        let outgoing = datagram(cx, chunk.to_vec());
+        let outgoing = new_datagram(cx, chunk.to_vec());
         send_to(cx, udp, &outgoing, address);
     }
 }
@@ -229,7 +229,7 @@
 }
 
 /// Creates a datagram with the state of this router and announcements of prompt `parts`.
-pub(super) fn datagram(cx: &Gateway, parts: Vec<PartLocation>) -> Datagram {
+pub(super) fn new_datagram(cx: &Gateway, parts: Vec<PartLocation>) -> Datagram {
     let now = cx.now();
     let freshness = cx.freshness.borrow();
     let age = freshness.age(now);
@@ -243,13 +243,13 @@
         vm: cx.cfg.vm.clone(),
         number,
         sent: Stamp {
-            incarnation: cx.life_number(),
+            incarnation: cx.incarnation(),
             micros: now.0.as_micros() as u64,
         },
         echo: None,
         config: age.map(|a| (freshness.version(), a.as_millis() as u32)),
         hall: cx.cfg.data_hall.clone(),
-        capacity: cx.cfg.strength,
+        capacity: cx.cfg.capacity,
         reader_ages: readers,
         suspected: cx.dispatcher.borrow().health.unresponsive_targets(now),
         halls: Vec::new(),
@@ -261,7 +261,7 @@
         rates: Vec::new(),
         mirror_revision: cx.mirror.borrow().revision(),
         store_regained_ms: cx
-            .store_back_at
+            .store_regained_at
             .get()
             .map(|at| now.since(at).as_millis() as u32),
         calls: cx.recent_calls.get(),
@@ -307,7 +307,7 @@
     };
     if joined.is_some() && received.echo.is_none() {
         // The peer may not know this router yet.
-        let mut reply = datagram(cx, Vec::new());
+        let mut reply = new_datagram(cx, Vec::new());
         reply.echo = Some(received.sent);
         send_to(cx, udp, &reply, from);
     }
@@ -341,7 +341,7 @@
         Err(_) if received.halls.is_empty() => {}
         Err(e) => debug!(cx.log, "sums not decoded"; "from" => %from, "why" => %e),
     }
-    let forward = cx.adds_up.get();
+    let forward = cx.is_aggregator.get();
     for (id, tokens, target) in received.parts {
         let part = PromptPart { id, tokens };
         dispatcher.cache.on_peer(&target, part, forward);
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -59,15 +59,15 @@
 #[derive(Default)]
 struct ConnActivity {
     busy: Cell<bool>,
-    since: Cell<crate::units::Instant>,
-    ended: Notify,
+    idle_since: Cell<crate::units::Instant>,
+    call_ended: Notify,
 }
 
 async fn serve_caller(cx: Rc<Gateway>, stream: TcpStream) {
     prepare(&stream);
     let limits = cx.caller_limits();
     let activity = Rc::new(ConnActivity::default());
-    activity.since.set(cx.now());
+    activity.idle_since.set(cx.now());
     let service = {
         let (cx, activity) = (Rc::clone(&cx), Rc::clone(&activity));
         service_fn(move |req: Request<Incoming>| {
@@ -75,9 +75,9 @@
             async move {
                 activity.busy.set(true);
                 let answer = call::on_call(&cx, req).await;
-                activity.since.set(cx.now());
+                activity.idle_since.set(cx.now());
                 activity.busy.set(false);
-                activity.ended.notify_one();
+                activity.call_ended.notify_one();
                 answer
             }
         })
@@ -91,14 +91,14 @@
     tokio::select! {
         // A broken connection ends its own call, and the error can't be sent to the caller.
         _ = connection.as_mut() => return,
-        () = until_rested(&cx, &activity) => {}
+        () = wait_for_idle_timeout(&cx, &activity) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
 /// Waits until the connection exceeds the idle timeout, or until a planned stop closes it.
-async fn until_rested(cx: &Gateway, activity: &ConnActivity) {
+async fn wait_for_idle_timeout(cx: &Gateway, activity: &ConnActivity) {
     loop {
         let pause = match cx.phase() {
             Phase::Serving => IDLE_CHECK_INTERVAL,
@@ -106,7 +106,7 @@
         };
         tokio::time::sleep(pause).await;
         let limits = cx.caller_limits();
-        let idle = cx.now().since(activity.since.get());
+        let idle = cx.now().since(activity.idle_since.get());
         let max_idle = limits.idle_timeout + IDLE_TIMEOUT_SLACK;
         if activity.busy.get() {
             continue;
@@ -119,7 +119,7 @@
 
 /// Serves readiness checks: whether this VM is ready for callers.
 pub(super) async fn serve_ready(cx: Rc<Gateway>, listener: TcpListener) {
-    serve_small(listener, move || {
+    serve_text(listener, move || {
         let status = match cx.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -131,11 +131,11 @@
 
 /// Serves the metrics.
 pub(super) async fn serve_metrics(cx: Rc<Gateway>, listener: TcpListener) {
-    serve_small(listener, move || (StatusCode::OK, cx.metrics.text())).await;
+    serve_text(listener, move || (StatusCode::OK, cx.metrics.text())).await;
 }
 
 /// Answers every request with the status and text that `answer` returns for it.
-async fn serve_small(listener: TcpListener, answer: impl Fn() -> (StatusCode, String) + 'static) {
+async fn serve_text(listener: TcpListener, answer: impl Fn() -> (StatusCode, String) + 'static) {
     let answer = Rc::new(answer);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -41,7 +41,7 @@
         let cfg = &cx.cfg;
         let operators = cfg.operators.as_ref().map(|(at, _)| at.to_string());
         info!(cx.log, "started"; "vm" => %cfg.vm, "callers" => %cfg.callers, "peers" => %cfg.peers,
-            "operators" => operators, "life" => cx.life_number().0);
+            "operators" => operators, "life" => cx.incarnation().0);
         if let Some(metrics) = self.metrics {
             spawn_local(ingress::serve_metrics(Rc::clone(&cx), metrics));
         }
@@ -57,11 +57,11 @@
         spawn_local(prompts::save(Rc::clone(&cx)));
         spawn_local(endings::save(Rc::clone(&cx)));
         spawn_local(gossip::receive(Rc::clone(&cx), Rc::clone(&udp)));
-        spawn_local(gossip::tell(Rc::clone(&cx), Rc::clone(&udp)));
-        spawn_local(exchange::compare(Rc::clone(&cx), Rc::clone(&udp)));
+        spawn_local(gossip::send_updates(Rc::clone(&cx), Rc::clone(&udp)));
+        spawn_local(exchange::run_comparisons(Rc::clone(&cx), Rc::clone(&udp)));
         spawn_local(tick(Rc::clone(&cx)));
         spawn_local(ingress::serve_callers(Rc::clone(&cx), self.callers));
-        stop::wait(&cx, signals, &udp).await
+        stop::run_until_stopped(&cx, signals, &udp).await
     }
 }
 
@@ -117,10 +117,10 @@
             info!(cx.log, "target"; "target" => %target, "verdict" => "gone", "why" => "still missing after the store became available again");
         }
         for (service, slot_time) in cx.dispatcher.borrow().admission.mean_slot_times() {
-            cx.metrics.on_held(service, slot_time);
+            cx.metrics.on_slot_time(service, slot_time);
         }
         cx.peers.borrow_mut().on_tick(now);
-        cx.usable_share(now);
+        cx.usable_retry_share(now);
         let routers = cx.peers.borrow().live_hashes(now);
         cx.dispatcher.borrow_mut().cold.set_routers(routers);
         cx.conns.on_tick(now);
--- a/src/edge/metrics.rs
+++ b/src/edge/metrics.rs
@@ -40,15 +40,15 @@
     attempts: Family<ReasonLabel, Counter>,
     store_calls: Family<ReasonLabel, Counter>,
     withdrawn: Family<ReasonLabel, Gauge>,
-    slot_held_ms: Family<ServiceLabel, Gauge>,
-    refused_pause: Histogram,
+    slot_time_ms: Family<ServiceLabel, Gauge>,
+    retry_after: Histogram,
     counts_age: Histogram,
     call_time: Histogram,
     first_event_time: Histogram,
     pub(crate) connections_opened: Counter,
     pub(crate) entries_unusable: Counter,
     pub(crate) halls_evacuated: Gauge,
-    pub(crate) held_requests: Gauge,
+    pub(crate) quarantined_requests: Gauge,
     pub(crate) datagrams_sent: Counter,
     pub(crate) datagram_bytes: Counter,
     pub(crate) claim_bytes: Counter,
@@ -72,15 +72,15 @@
             attempts: Family::default(),
             store_calls: Family::default(),
             withdrawn: Family::default(),
-            slot_held_ms: Family::default(),
-            refused_pause: Histogram::new(BUCKET_BOUNDS_SECONDS),
+            slot_time_ms: Family::default(),
+            retry_after: Histogram::new(BUCKET_BOUNDS_SECONDS),
             counts_age: Histogram::new(BUCKET_BOUNDS_SECONDS),
             call_time: Histogram::new(BUCKET_BOUNDS_SECONDS),
             first_event_time: Histogram::new(BUCKET_BOUNDS_SECONDS),
             connections_opened: Counter::default(),
             entries_unusable: Counter::default(),
             halls_evacuated: Gauge::default(),
-            held_requests: Gauge::default(),
+            quarantined_requests: Gauge::default(),
             datagrams_sent: Counter::default(),
             datagram_bytes: Counter::default(),
             claim_bytes: Counter::default(),
@@ -127,12 +127,12 @@
         r.register(
             "slot_held_ms",
             "How long a call holds a slot of a target, by service",
-            self.slot_held_ms.clone(),
+            self.slot_time_ms.clone(),
         );
         r.register(
             "come_back_seconds",
             "When callers that found no room were asked back",
-            self.refused_pause.clone(),
+            self.retry_after.clone(),
         );
         r.register(
             "counts_age_seconds",
@@ -154,7 +154,7 @@
         r.register(
             "held_requests",
             "Requests that are held back, as targets ended under them",
-            self.held_requests.clone(),
+            self.quarantined_requests.clone(),
         );
         let unusable = self.entries_unusable.clone();
         r.register(
@@ -225,11 +225,11 @@
     }
 
     /// Sets the time for which a call occupies a slot of the service's targets.
-    pub(crate) fn on_held(&self, service: &ServiceName, slot_time: Duration) {
+    pub(crate) fn on_slot_time(&self, service: &ServiceName, slot_time: Duration) {
         let label = ServiceLabel {
             service: service.to_string(),
         };
-        let gauge = self.slot_held_ms.get_or_create(&label);
+        let gauge = self.slot_time_ms.get_or_create(&label);
         gauge.set(slot_time.as_millis() as i64);
     }
 
@@ -242,8 +242,8 @@
     }
 
     /// Records the delay after which a caller that was refused for lack of capacity should retry.
-    pub(crate) fn on_no_room(&self, retry_after: Duration) {
-        self.refused_pause.observe(retry_after.as_secs_f64());
+    pub(crate) fn on_capacity_refused(&self, retry_after: Duration) {
+        self.retry_after.observe(retry_after.as_secs_f64());
     }
 
     /// Records the mean age of the other routers' call counts by which a target was chosen.
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -69,7 +69,7 @@
         }
     }
     on_changes(cx, now, changes, update.revision);
-    if is_list && !cx.cfg.own_config {
+    if is_list && !cx.cfg.uses_operator_config {
         let (halls, changes) = {
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
             // Evacuated halls are applied before targets, as a target of such a hall must not be used even
@@ -98,7 +98,7 @@
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher.quarantine.on_store_reverted();
     dispatcher.cache.on_store_reverted();
-    if !cx.cfg.own_config {
+    if !cx.cfg.uses_operator_config {
         dispatcher.discovery.on_store_reverted(cx.now());
     }
 }
@@ -130,10 +130,10 @@
             Ok(OwnEntry::Prompts(saved)) if is_list => {
                 saved_state = Some(prompts::decode(cx, &saved));
             }
-            Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.own_config => {
+            Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.uses_operator_config => {
                 fleet::take_snapshot(cx, *snapshot);
             }
-            Ok(OwnEntry::Change(change)) if cx.cfg.own_config => changes.push(*change),
+            Ok(OwnEntry::Change(change)) if cx.cfg.uses_operator_config => changes.push(*change),
             Ok(OwnEntry::Quarantined(request)) => {
                 let now = cx.now();
                 let change = {
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -34,7 +34,7 @@
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(cx.cfg.callers_rules.limits.header_timeout)
+            .header_read_timeout(cx.cfg.caller_rules.limits.header_timeout)
             .serve_connection(TokioIo::new(socket), service);
         tokio::task::spawn_local(async move {
             // An operator whose connection breaks can repeat the request.
@@ -44,7 +44,7 @@
 }
 
 async fn on_request(cx: &Rc<Gateway>, req: Request<Incoming>) -> Response<AnswerBody> {
-    let Some(author) = operator(cx, &req) else {
+    let Some(author) = authenticate(cx, &req) else {
         return reply::error(ResultCode::WrongToken, "no such operator's token");
     };
     let path = req.uri().path().to_owned();
@@ -57,11 +57,11 @@
         }
         (Method::GET, ["v1", "changes"]) => view::changes(cx),
         (Method::GET, ["v1", "changes", id]) => view::change(cx, id),
-        (Method::POST, ["v1", "intents", "plan"]) => match body(req).await {
+        (Method::POST, ["v1", "intents", "plan"]) => match read_body(req).await {
             Ok(text) => plan(cx, &author, &text),
             Err(e) => intent_error(&e),
         },
-        (Method::POST, ["v1", "intents", "confirm"]) => match body(req).await {
+        (Method::POST, ["v1", "intents", "confirm"]) => match read_body(req).await {
             Ok(text) => confirm_plan(cx, &author, &text).await,
             Err(e) => intent_error(&e),
         },
@@ -72,7 +72,7 @@
 /// Returns the name of the operator whose token the request presents.
 ///
 /// Each comparison takes constant time, so that it reveals nothing about a token.
-fn operator(cx: &Gateway, req: &Request<Incoming>) -> Option<String> {
+fn authenticate(cx: &Gateway, req: &Request<Incoming>) -> Option<String> {
     let header = req.headers().get(hyper::header::AUTHORIZATION)?;
     let presented = header.to_str().ok()?.strip_prefix("Bearer ")?;
     let matches =
@@ -81,7 +81,7 @@
     tokens.iter().find(matches).map(|t| t.name.clone())
 }
 
-async fn body(req: Request<Incoming>) -> Result<Vec<u8>, IntentError> {
+async fn read_body(req: Request<Incoming>) -> Result<Vec<u8>, IntentError> {
     let error = || IntentError::new(ResultCode::BodyTooLarge, "the body was not taken");
     let body = Limited::new(req.into_body(), MAX_BODY_BYTES)
         .collect()
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -295,7 +295,7 @@
 async fn on_change(cx: &Gateway, req: Request<Incoming>) -> Result<Vec<u8>, StoreError> {
     let body = Limited::new(req.into_body(), CHANGE_LIMIT).collect().await;
     let change = serde_json::from_slice(&body.map_err(garbled)?.to_bytes()).map_err(garbled)?;
-    if cx.cfg.own_config {
+    if cx.cfg.uses_operator_config {
         fleet::take_change(cx, change);
     }
     Ok(Vec::new())
--- a/src/edge/place.rs
+++ b/src/edge/place.rs
@@ -97,7 +97,7 @@
         self.cx.metrics.on_attempt(why);
         self.on_request(end);
         self.span.set_attribute("outcome", why);
-        self.cx.note(&self.id, || match outcome {
+        self.cx.record_decision(&self.id, || match outcome {
             Some(Outcome::Good) => Decision::Answered {
                 target: target.clone(),
             },
--- a/src/edge/stop.rs
+++ b/src/edge/stop.rs
@@ -40,7 +40,11 @@
 }
 
 /// Waits for the signal to stop, then runs the planned stop to its end.
-pub(super) async fn wait(cx: &Rc<Gateway>, mut signals: Signals, udp: &UdpSocket) -> StopReport {
+pub(super) async fn run_until_stopped(
+    cx: &Rc<Gateway>,
+    mut signals: Signals,
+    udp: &UdpSocket,
+) -> StopReport {
     loop {
         tokio::select! {
             Some(()) = signals.stop.recv() => break,
@@ -51,9 +55,9 @@
     }
     let began = cx.now();
     info!(cx.log, "stop requested"; "in_progress" => cx.in_progress.get());
-    cx.on_life(RouterEvent::Stop);
+    cx.on_lifecycle_event(RouterEvent::Stop);
     cx.clock.sleep_until(began + cx.rules.get().serve_on).await;
-    cx.on_life(RouterEvent::BalancerNotified);
+    cx.on_lifecycle_event(RouterEvent::BalancerNotified);
     let in_progress = cx.in_progress.get() as u64;
     gossip::send_to_all(cx, udp, &[]);
     let limit = cx.rules.get().stop_time.mul_f64(CUT_OFF_FRACTION);
@@ -62,7 +66,7 @@
     }
     // Within this time idle connections close, and the system sends what is left in the sockets.
     tokio::time::sleep(DRAIN_CHECK_INTERVAL * 10).await;
-    cx.on_life(RouterEvent::Finished);
+    cx.on_lifecycle_event(RouterEvent::Finished);
     let report = StopReport {
         in_progress,
         cut_off: cx.in_progress.get() as u64,
--- a/src/edge/sums.rs
+++ b/src/edge/sums.rs
@@ -65,7 +65,7 @@
         }
         self.0 = now;
         let admission = &cx.dispatcher.borrow().admission;
-        let halls = match cx.adds_up.get() {
+        let halls = match cx.is_aggregator.get() {
             true => admission.hall_rates(now, &cx.cfg.data_hall),
             false => HallRates::default(),
         };
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -158,7 +158,7 @@
             vm: self.vm.clone(),
             region: Some(self.region.clone()),
             data_hall: self.data_hall.clone(),
-            strength: CapacityClass::new(
+            capacity: CapacityClass::new(
                 VM_LINK_MBPS_AND_CPU_SHARE.0,
                 VM_LINK_MBPS_AND_CPU_SHARE.1,
             ),
@@ -171,13 +171,13 @@
             max_connections: self.concurrency_limit,
             max_calls: self.concurrency_limit,
             start: FleetStart::default(),
-            own_config: true,
-            callers_rules: CallerRules {
+            uses_operator_config: true,
+            caller_rules: CallerRules {
                 limits: self.caller_limits(),
                 chat_timeout: self.request_timeout_ms.duration(),
                 max_silence: self.idle_timeout_ms.duration(),
             },
-            explain_kept: MAX_EXPLAINED_DECISIONS,
+            max_explained_decisions: MAX_EXPLAINED_DECISIONS,
             rules: Rules {
                 revoke_bound: self.revoke_bound.0.map(Millis::duration),
                 cap_factor: self.load_bound.factor(),
