--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -106,7 +106,7 @@
     account: &ClientAccountId,
     demand: Demand,
 ) -> Option<Grant> {
-    let limits = cx.fleet.with_log(|log| {
+    let limits = cx.accepted_changes.with_log(|log| {
         let account = log.config().accounts.get(account)?;
         Some(AccountLimits {
             requests_per_s: account.requests_per_s,
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -123,7 +123,7 @@
 }
 
 fn models(cx: &Gateway) -> Response<AnswerBody> {
-    cx.fleet.with_log(|log| {
+    cx.accepted_changes.with_log(|log| {
         let entry = |name| ModelEntry {
             id: name,
             object: "model",
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -57,7 +57,9 @@
         if let Some(accepted) = accepted_before(cx, &plan.id) {
             return Ok(accepted);
         }
-        let change = cx.fleet.with_log(|log| intent::change(log, plan))?;
+        let change = cx
+            .accepted_changes
+            .with_log(|log| intent::change(log, plan))?;
         match write(cx, change).await? {
             Written::Accepted(change) => return Ok(accept(cx, change)),
             // Another change has this revision: apply it and try the next revision.
@@ -77,7 +79,7 @@
 }
 
 fn accepted_before(cx: &Gateway, id: &ChangeId) -> Option<Accepted> {
-    let revision = cx.fleet.revision_of(id)?;
+    let revision = cx.accepted_changes.revision_of(id)?;
     Some(Accepted {
         id: id.clone(),
         revision,
@@ -140,7 +142,9 @@
 
 /// Stores the whole configuration and removes older changes that are no longer needed.
 async fn store_snapshot(cx: &Rc<Gateway>) -> Result<(), StoreError> {
-    let snapshot = cx.fleet.with_log(crate::config::ConfigLog::snapshot);
+    let snapshot = cx
+        .accepted_changes
+        .with_log(crate::config::ConfigLog::snapshot);
     let value =
         serde_json::to_vec(&snapshot).map_err(|e| StoreError::InvalidResponse(e.to_string()))?;
     let existing = cx.store.get(SNAPSHOT_KEY).await?;
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -134,7 +134,7 @@
 fn answer(cx: &Gateway, after: StoreRevision) -> Result<Bytes, StoreError> {
     let revision = cx.mirror.borrow().revision();
     let unseen = fleet::unseen_entries(cx, revision);
-    let mut cache = cx.answers.borrow_mut();
+    let mut cache = cx.response_cache.borrow_mut();
     let is_same = |a: &&Answer| a.after == after && a.revision == revision;
     // Changes that have not been read back from the store yet are not part of a revision, so a response
     // with such changes is not taken from the cache.
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -52,7 +52,7 @@
 /// Applies a change from any source; returns the outcome.
 pub(crate) fn take_change(cx: &Gateway, change: Change) -> ChangeOutcome {
     let revision = change.revision;
-    let outcome = cx.fleet.log.borrow_mut().on_change(change);
+    let outcome = cx.accepted_changes.log.borrow_mut().on_change(change);
     after(cx, outcome, revision);
     outcome
 }
@@ -60,7 +60,7 @@
 /// Applies a whole configuration from any source.
 pub(crate) fn take_snapshot(cx: &Gateway, snapshot: Snapshot) {
     let revision = snapshot.revision;
-    let outcome = cx.fleet.log.borrow_mut().on_snapshot(snapshot);
+    let outcome = cx.accepted_changes.log.borrow_mut().on_snapshot(snapshot);
     after(cx, outcome, revision);
 }
 
@@ -68,7 +68,7 @@
     match outcome {
         ChangeOutcome::Applied => put_in_force(cx),
         ChangeOutcome::Conflict => {
-            cx.fleet.on_revert();
+            cx.accepted_changes.on_revert();
             error!(cx.log, "refused a change of a diverged history";
                 "code" => ResultCode::StoreReverted.number(), "revision" => revision.0);
         }
@@ -78,7 +78,7 @@
 
 fn put_in_force(cx: &Gateway) {
     let (revision, config) = {
-        let log = cx.fleet.log.borrow();
+        let log = cx.accepted_changes.log.borrow();
         (log.revision(), Arc::clone(log.config()))
     };
     let serving = routes::serving_config(&config, revision, &cx.cfg.caller_rules);
@@ -131,7 +131,7 @@
 /// Returns the recent changes in force here that the store is not known to hold.
 pub(crate) fn unseen_changes(cx: &Gateway) -> Vec<Arc<Change>> {
     let stored = newest_stored(cx);
-    cx.fleet.with_log(|log| {
+    cx.accepted_changes.with_log(|log| {
         let unseen = log.recent().filter(|c| c.revision > stored);
         unseen.cloned().collect()
     })
@@ -156,7 +156,7 @@
     let Some(first) = lost.first() else {
         return;
     };
-    cx.fleet.on_revert();
+    cx.accepted_changes.on_revert();
     error!(cx.log, "the store holds an older configuration than the one in force";
         "code" => ResultCode::StoreReverted.number(), "first_lost" => first.revision.0,
         "lost" => lost.len());
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -63,7 +63,7 @@
     pub(crate) dispatcher: RefCell<Dispatcher>,
     pub(crate) freshness: RefCell<Freshness>,
     pub(crate) peers: RefCell<Peers>,
-    pub(crate) fleet: Fleet,
+    pub(crate) accepted_changes: Fleet,
     pub(crate) accounts: Accounts,
     pub(crate) claims: ClaimKeeper,
     pub(crate) crash_checks: Endings,
@@ -78,7 +78,7 @@
     pub(crate) mirror: RefCell<StoreMirror>,
     /// Wakes requests of peers that wait for a newer state of the mirror.
     pub(crate) mirror_changed: Notify,
-    pub(super) answers: RefCell<Answers>,
+    pub(super) response_cache: RefCell<Answers>,
     /// Instant since which the store has not answered this router; `None` while it answers.
     pub(crate) store_unavailable_since: Cell<Option<Instant>>,
     /// Wakes calls that wait for the first configuration.
@@ -129,12 +129,12 @@
             stored_config: Cell::new(None),
             mirror: RefCell::default(),
             mirror_changed: Notify::new(),
-            answers: RefCell::default(),
+            response_cache: RefCell::default(),
             store_unavailable_since: Cell::new(None),
             config_arrived: Notify::new(),
             store_regained_at: Cell::new(None),
             store_confirmed_at: Cell::new(None),
-            fleet: Fleet::default(),
+            accepted_changes: Fleet::default(),
             accounts: Accounts::default(),
             claims: ClaimKeeper::new(Rc::clone(&store)),
             crash_checks: Endings::default(),
@@ -173,12 +173,12 @@
 
     /// Returns the revision of the operators' configuration that is in force at this router.
     pub fn revision(&self) -> Revision {
-        self.fleet.revision()
+        self.accepted_changes.revision()
     }
 
     /// Returns the number of older histories of the store that were rejected.
     pub fn reverts_refused(&self) -> u64 {
-        self.fleet.reverts_refused()
+        self.accepted_changes.reverts_refused()
     }
 
     /// Returns the number of bytes of datagrams sent to other routers so far.
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -53,7 +53,7 @@
         (Method::GET, ["v1", "status"]) => reply::json(200, &view::status(cx)),
         (Method::GET, ["v1", "explain", id]) => view::explain(cx, id).await,
         (Method::GET, ["v1", "config"]) => {
-            reply::json(200, &cx.fleet.with_log(ConfigLog::snapshot))
+            reply::json(200, &cx.accepted_changes.with_log(ConfigLog::snapshot))
         }
         (Method::GET, ["v1", "changes"]) => view::changes(cx),
         (Method::GET, ["v1", "changes", id]) => view::change(cx, id),
@@ -91,7 +91,7 @@
 
 fn plan(cx: &Gateway, author: &str, text: &[u8]) -> Response<AnswerBody> {
     let planned = intent::read(text).and_then(|i| {
-        cx.fleet
+        cx.accepted_changes
             .with_log(|log| intent::plan(log, author, i, rand::random()))
     });
     match planned {
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -111,7 +111,9 @@
 /// Returns the state of the fleet as seen by this router.
 pub(super) fn status(cx: &Gateway) -> Status {
     let now = cx.now();
-    let (revision, digest) = cx.fleet.with_log(|log| (log.revision(), log.digest()));
+    let (revision, digest) = cx
+        .accepted_changes
+        .with_log(|log| (log.revision(), log.digest()));
     let age = cx.freshness.borrow().age(now);
     let mut routers = cx.peers.borrow().members(now);
     routers.sort_by(|a, b| a.vm.cmp(&b.vm));
@@ -218,7 +220,7 @@
 
 /// Returns the recent changes.
 pub(super) fn changes(cx: &Gateway) -> Response<AnswerBody> {
-    let changes = cx.fleet.with_log(|log| Changes {
+    let changes = cx.accepted_changes.with_log(|log| Changes {
         revision: log.revision(),
         changes: log.recent().cloned().collect(),
     });
@@ -228,7 +230,7 @@
 /// Returns one recent change.
 pub(super) fn change(cx: &Gateway, id: &str) -> Response<AnswerBody> {
     let found = cx
-        .fleet
+        .accepted_changes
         .with_log(|log| log.recent().find(|c| c.id.as_str() == id).cloned());
     match found {
         Some(change) => reply::json(200, &*change),
