--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -10,7 +10,7 @@
 use super::{
     accounts::{self, AccountPlace},
     attempt::Call,
-    ending::{Ending, HELD_BACK},
+    ending::{CallGuard, QUARANTINE_TEXT},
     endings,
     gateway::Gateway,
 };
@@ -29,7 +29,7 @@
 };
 
 /// A request that has been read completely and is not admitted yet.
-pub(crate) struct Arrived {
+pub(crate) struct IncomingCall {
     /// Method, URI and headers.
     pub(crate) head: request::Parts,
     /// Body; `None` if it is above the size limit.
@@ -41,7 +41,7 @@
 }
 
 /// Waits for the first configuration if the router has just started and one is expected soon.
-pub(crate) async fn await_config(cx: &Gateway, incoming_call: &Arrived) {
+pub(crate) async fn await_config(cx: &Gateway, incoming_call: &IncomingCall) {
     if cx.serving().is_some() {
         return;
     }
@@ -57,7 +57,7 @@
 }
 
 /// Returns how long the caller waits for the answer in total, if the call states it.
-fn deadline(cx: &Gateway, incoming_call: &Arrived) -> Option<Duration> {
+fn deadline(cx: &Gateway, incoming_call: &IncomingCall) -> Option<Duration> {
     let body = incoming_call.body.as_ref()?;
     let facts = cx
         .dialect
@@ -66,8 +66,8 @@
 }
 
 /// Builds the refusal of a call that arrives while the router has no configuration.
-fn no_config(cx: &Gateway, incoming_call: &Arrived) -> Refusal {
-    let time_left = deadline(cx, incoming_call).unwrap_or(USUAL_PATIENCE);
+fn no_config_refusal(cx: &Gateway, incoming_call: &IncomingCall) -> Refusal {
+    let time_left = deadline(cx, incoming_call).unwrap_or(DEFAULT_CALLER_TIMEOUT);
     let dispatcher = cx.dispatcher.borrow();
     let age = cx.now().0;
     let come_back = (dispatcher.admission).retry_after_startup(age, time_left, rand::random());
@@ -79,16 +79,18 @@
 
 /// Time that a caller is assumed to wait if its call states no deadline: the shortest of the users'
 /// deadlines for streams.
-const USUAL_PATIENCE: Duration = Duration::from_millis(2_500);
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Admits a call, or returns why it is refused. Records the request's fingerprint in `ending`.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
-    incoming_call: Arrived,
-    ending: &mut Ending,
+    incoming_call: IncomingCall,
+    ending: &mut CallGuard,
 ) -> Result<(Call, Option<AccountPlace>), Refusal> {
-    let config = cx.serving().ok_or_else(|| no_config(cx, &incoming_call))?;
-    let Arrived {
+    let config = cx
+        .serving()
+        .ok_or_else(|| no_config_refusal(cx, &incoming_call))?;
+    let IncomingCall {
         head,
         body,
         id,
@@ -117,14 +119,14 @@
     let account = holder.as_ref().map(|h| &h.account);
     let fingerprint = fingerprint(&head, &body, &facts, account);
     ending.fingerprint = Some(fingerprint);
-    if let Some(time_left) = endings::held_back(cx, fingerprint) {
+    if let Some(time_left) = endings::quarantine_time_left(cx, fingerprint) {
         return Err(Refusal {
             retry_after: Some(time_left),
-            ..Refusal::new(ResultCode::HeldBack, HELD_BACK)
+            ..Refusal::new(ResultCode::HeldBack, QUARANTINE_TEXT)
         });
     }
     let place = accounts::admit(cx, holder.as_ref())
-        .map_err(|retry_after| over_limit(cx, id.as_deref(), retry_after))?;
+        .map_err(|retry_after| account_limit_refusal(cx, id.as_deref(), retry_after))?;
     let hash = xxh3_64(id.as_deref().unwrap_or_default().as_bytes());
     let service = route.service_for(hash).cloned();
     let no_service = Refusal::new(ResultCode::NoTarget, "no service on the route");
@@ -146,7 +148,7 @@
         kind: route.kind,
         prompt: facts.prompt.clone(),
         shared_parts: facts.shared_parts,
-        chat: chat_within(&facts, holder.as_ref()),
+        chat: chat_key(&facts, holder.as_ref()),
         answer: engine
             .and_then(|e| e.expected_response)
             .map_or(Tokens(0), |expected| {
@@ -162,7 +164,7 @@
     };
     let call = Call {
         fingerprint,
-        hold_until: received + held_for(&facts, &route),
+        deadline: received + call_timeout(&facts, &route),
         rank: rank(&facts, &route, holder.as_ref()),
         last_event: facts.last_event_id,
         attempts: Attempts::default(),
@@ -173,7 +175,7 @@
         id,
         facts,
         route,
-        holder,
+        key_owner: holder,
         received,
     };
     Ok((call, place))
@@ -197,13 +199,13 @@
 }
 
 /// Computes the call's timeout: the caller's deadline, but at most the route's timeout.
-fn held_for(facts: &CallInfo, route: &Route) -> Duration {
+fn call_timeout(facts: &CallInfo, route: &Route) -> Duration {
     facts
         .deadline
         .map_or(route.timeout, |d| d.min(route.timeout))
 }
 
-fn chat_within(facts: &CallInfo, holder: Option<&KeyOwner>) -> Option<crate::ids::ConversationKey> {
+fn chat_key(facts: &CallInfo, holder: Option<&KeyOwner>) -> Option<crate::ids::ConversationKey> {
     let chat = facts.conversation?;
     Some(holder.map_or(chat, |h| chat.within(&h.account)))
 }
@@ -218,7 +220,7 @@
         .map_or(default, |requested| requested.max(default))
 }
 
-fn over_limit(cx: &Gateway, id: Option<&str>, retry_after: Duration) -> Refusal {
+fn account_limit_refusal(cx: &Gateway, id: Option<&str>, retry_after: Duration) -> Refusal {
     info!(cx.log, "account over its limit"; "id" => id,
         "come_back_ms" => retry_after.as_millis() as u64);
     Refusal {
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -14,10 +14,10 @@
 
 use super::{
     attempt_end::AttemptEnd,
-    conn::{Conn, NoConn},
+    conn::{Conn, ConnectError},
     endings,
     gateway::Gateway,
-    place::Place,
+    place::AttemptGuard,
     withdrawals,
 };
 use crate::{
@@ -42,7 +42,7 @@
     pub(crate) fingerprint: Fingerprint,
     pub(crate) facts: CallInfo,
     pub(crate) route: Rc<Route>,
-    pub(crate) holder: Option<KeyOwner>,
+    pub(crate) key_owner: Option<KeyOwner>,
     pub(crate) plan: CallPlan,
     /// Maximum number of connections of this router to one target of the service.
     pub(crate) conn_limit: usize,
@@ -50,7 +50,7 @@
     pub(crate) received: Instant,
     /// Instant at which the call ends: the caller's deadline or the route's timeout, whichever is
     /// earlier.
-    pub(crate) hold_until: Instant,
+    pub(crate) deadline: Instant,
     pub(crate) attempts: Attempts,
     /// Urgency of the call.
     pub(crate) rank: Rank,
@@ -66,7 +66,7 @@
 
     /// Returns the URI that is sent to the target: the caller's URI without the route's stripped
     /// prefix.
-    fn handed_uri(&self) -> Uri {
+    fn target_uri(&self) -> Uri {
         let uri = &self.head.uri;
         let prefix = self.route.stripped_prefix.as_str();
         let stripped = uri
@@ -80,19 +80,19 @@
 }
 
 /// An answer of which the head has arrived and is valid, and the body has not been read yet.
-pub(crate) struct Begun {
+pub(crate) struct StartedAnswer {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
     pub(crate) facts: ResponseInfo,
     pub(crate) conn: Conn,
-    pub(crate) place: Place,
+    pub(crate) place: AttemptGuard,
 }
 
 /// A failed attempt.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Failed {
+pub(crate) struct AttemptFailure {
     /// Whether the target ran the call.
-    pub(crate) fate: Execution,
+    pub(crate) execution: Execution,
     /// How the attempt ended.
     pub(crate) end: AttemptEnd,
     /// Whether no further attempt can follow: the attempt was not sent as no target or no time was
@@ -100,19 +100,19 @@
     pub(crate) nowhere: bool,
 }
 
-impl Failed {
+impl AttemptFailure {
     /// Returns the failure to report for the call: the earlier attempt's failure `previous`, if this
     /// attempt ended with no further attempt possible, and this one otherwise.
-    pub(crate) fn after(self, previous: Option<Self>) -> Self {
+    pub(crate) fn or_previous(self, previous: Option<Self>) -> Self {
         match previous {
             Some(previous) if self.nowhere => previous,
             _ => self,
         }
     }
 
-    fn nowhere(end: AttemptEnd) -> Self {
+    fn not_sent(end: AttemptEnd) -> Self {
         Self {
-            fate: Execution::NotRun,
+            execution: Execution::NotRun,
             end,
             nowhere: true,
         }
@@ -120,7 +120,7 @@
 
     fn not_run(end: AttemptEnd) -> Self {
         Self {
-            fate: Execution::NotRun,
+            execution: Execution::NotRun,
             end,
             nowhere: false,
         }
@@ -128,7 +128,7 @@
 
     fn may_have_run(end: AttemptEnd) -> Self {
         Self {
-            fate: Execution::MayHaveRun,
+            execution: Execution::MayHaveRun,
             end,
             nowhere: false,
         }
@@ -140,41 +140,46 @@
     cx: &Rc<Gateway>,
     call: &mut Call,
     timeout: Duration,
-) -> Result<Begun, Failed> {
+) -> Result<StartedAnswer, AttemptFailure> {
     let (place, conn) = connect(cx, call).await?;
     let result = send(cx, call, place, conn, timeout).await;
     if let Err(failed) = &result {
-        call.attempts.on_attempt_end(failed.fate);
+        call.attempts.on_attempt_end(failed.execution);
     }
     result
 }
 
 /// Chooses a target and gets a connection to it. Targets that cannot be reached are skipped.
-async fn connect(cx: &Rc<Gateway>, call: &mut Call) -> Result<(Place, Conn), Failed> {
+async fn connect(
+    cx: &Rc<Gateway>,
+    call: &mut Call,
+) -> Result<(AttemptGuard, Conn), AttemptFailure> {
     loop {
         let now = cx.now();
-        if now >= call.hold_until {
-            return Err(Failed::nowhere(AttemptEnd::NoTimeLeft));
+        if now >= call.deadline {
+            return Err(AttemptFailure::not_sent(AttemptEnd::NoTimeLeft));
         }
         // Checked again before each choice: if a caller sends a request again at once and many times,
         // some of these calls are already waiting here when the request is quarantined.
-        if endings::held_back(cx, call.fingerprint).is_some() {
-            return Err(Failed::nowhere(AttemptEnd::HeldBack));
+        if endings::quarantine_time_left(cx, call.fingerprint).is_some() {
+            return Err(AttemptFailure::not_sent(AttemptEnd::Quarantined));
         }
         let chosen = cx.dispatcher.borrow_mut().choose(now, &call.plan);
         let ticket = chosen.map_err(|e| match e {
-            PlacementError::NoTarget => Failed::nowhere(AttemptEnd::NoTarget),
-            PlacementError::AllFull => Failed::nowhere(AttemptEnd::AllFull),
-            PlacementError::AllCold => Failed::nowhere(AttemptEnd::AllCold),
-            PlacementError::AllEvacuated => Failed::nowhere(AttemptEnd::AllEvacuated),
-            PlacementError::AllLeaving => Failed::nowhere(AttemptEnd::AllLeaving),
-            PlacementError::AllBackedOff { .. } => Failed::nowhere(AttemptEnd::AllBackedOff),
+            PlacementError::NoTarget => AttemptFailure::not_sent(AttemptEnd::NoTarget),
+            PlacementError::AllFull => AttemptFailure::not_sent(AttemptEnd::AllFull),
+            PlacementError::AllCold => AttemptFailure::not_sent(AttemptEnd::AllCold),
+            PlacementError::AllEvacuated => AttemptFailure::not_sent(AttemptEnd::AllEvacuated),
+            PlacementError::AllLeaving => AttemptFailure::not_sent(AttemptEnd::AllLeaving),
+            PlacementError::AllBackedOff { .. } => {
+                AttemptFailure::not_sent(AttemptEnd::AllBackedOff)
+            }
         })?;
         let target = Rc::clone(&ticket.target);
         cx.metrics.prompt_tokens_missing.inc_by(ticket.missing.0);
         cx.metrics.on_choice(ticket.counted_ago);
         call.plan.tried.push(target.id.clone());
-        let place = Place::new(cx, call, now, ticket);
+        let place = AttemptGuard::new(cx, call, now, ticket);
         cx.record_decision(call.id(), || Decision::Tried {
             target: target.id.clone(),
             calls: place.ticket.calls,
@@ -191,12 +196,12 @@
                 cx.metrics.connections_opened.inc();
                 return Ok((place, conn));
             }
-            Err(NoConn::AtLimit) => place.end(AttemptEnd::ConnectionsAtLimit),
-            Err(NoConn::Refused) => {
-                on_refused(cx, call, &target.id);
+            Err(ConnectError::AtLimit) => place.end(AttemptEnd::ConnectionsAtLimit),
+            Err(ConnectError::Refused) => {
+                on_connection_refused(cx, call, &target.id);
                 place.end(AttemptEnd::ConnectionRefused);
             }
-            Err(NoConn::Unreachable) => place.end(AttemptEnd::Unreachable),
+            Err(ConnectError::Unreachable) => place.end(AttemptEnd::Unreachable),
         }
     }
 }
@@ -204,13 +209,13 @@
 async fn send(
     cx: &Rc<Gateway>,
     call: &mut Call,
-    mut place: Place,
+    mut place: AttemptGuard,
     mut conn: Conn,
     timeout: Duration,
-) -> Result<Begun, Failed> {
+) -> Result<StartedAnswer, AttemptFailure> {
     let now = cx.now();
-    let req = request(cx, call, now, &place.ticket, &place.span);
-    let until = (now + timeout).min(call.hold_until);
+    let req = build_request(cx, call, now, &place.ticket, &place.span);
+    let until = (now + timeout).min(call.deadline);
     call.attempts.on_sent();
     let sent = conn.sender.try_send_request(req);
     let answer = cx.clock.timeout_at(until, sent).await;
@@ -220,23 +225,23 @@
             // The client hands a request back only if it was never written to the connection.
             let unsent = e.take_message().is_some();
             if let Some(rested) = conn.rested() {
-                cx.conns.on_broke_after(cx.now(), rested);
+                cx.conns.on_idle_conn_broke(cx.now(), rested);
             }
-            on_broke(cx, call, place.target(), now);
+            on_connection_broke(cx, call, place.target(), now);
             let failed = match unsent {
-                true => Failed::not_run(AttemptEnd::ClosedBefore),
-                false => Failed::may_have_run(AttemptEnd::ConnectionBroke),
+                true => AttemptFailure::not_run(AttemptEnd::ClosedBeforeSend),
+                false => AttemptFailure::may_have_run(AttemptEnd::ConnectionBroke),
             };
             place.end(failed.end);
             return Err(failed);
         }
-        None if until >= call.hold_until => {
-            place.end(AttemptEnd::TimeUp);
-            return Err(Failed::may_have_run(AttemptEnd::TimeUp));
+        None if until >= call.deadline => {
+            place.end(AttemptEnd::DeadlineExceeded);
+            return Err(AttemptFailure::may_have_run(AttemptEnd::DeadlineExceeded));
         }
         None => {
             place.end(AttemptEnd::Silent);
-            return Err(Failed::may_have_run(AttemptEnd::Silent));
+            return Err(AttemptFailure::may_have_run(AttemptEnd::Silent));
         }
     };
     let (head, body) = res.into_parts();
@@ -247,18 +252,18 @@
     }
     place.on_head(&facts);
     withdrawals::on_head(cx, call, place.target(), head.status, &facts);
-    let begun = Begun {
+    let begun = StartedAnswer {
         head,
         body,
         facts,
         conn,
         place,
     };
-    judge(cx, call, begun)
+    check_head(cx, call, begun)
 }
 
 /// Records that a target is down: nothing listens at its address, or another target has the address.
-fn on_refused(cx: &Gateway, call: &Call, target: &TargetId) {
+fn on_connection_refused(cx: &Gateway, call: &Call, target: &TargetId) {
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher.health.outages.on_refused(now, target.into());
@@ -266,7 +271,7 @@
 }
 
 /// Records that a connection broke before the answer to a call that was sent on it at `sent`.
-fn on_broke(cx: &Gateway, call: &Call, target: &TargetId, sent: Instant) {
+fn on_connection_broke(cx: &Gateway, call: &Call, target: &TargetId, sent: Instant) {
     let now = cx.now();
     let after = now.since(sent);
     let mut dispatcher = cx.dispatcher.borrow_mut();
@@ -278,33 +283,39 @@
 }
 
 /// Checks that the head belongs to the target's answer to this call, and fails the attempt otherwise.
-fn judge(cx: &Gateway, call: &Call, begun: Begun) -> Result<Begun, Failed> {
+fn check_head(
+    cx: &Gateway,
+    call: &Call,
+    begun: StartedAnswer,
+) -> Result<StartedAnswer, AttemptFailure> {
     let facts = &begun.facts;
     let status = begun.head.status;
     let is_other_call = facts.id.is_some() && facts.id != call.id;
     match () {
         () if is_other_call => {
-            begun.place.end(AttemptEnd::AnotherAnswer);
-            Err(Failed::may_have_run(AttemptEnd::AnotherAnswer))
+            begun.place.end(AttemptEnd::AnswerToAnotherCall);
+            Err(AttemptFailure::may_have_run(
+                AttemptEnd::AnswerToAnotherCall,
+            ))
         }
         () if facts.rejected_by == Some(RejectedBy::OtherTarget) => {
-            on_refused(cx, call, begun.place.target());
+            on_connection_refused(cx, call, begun.place.target());
             begun.place.end(AttemptEnd::AnotherTarget);
-            Err(Failed::not_run(AttemptEnd::AnotherTarget))
+            Err(AttemptFailure::not_run(AttemptEnd::AnotherTarget))
         }
         () if facts.rejected_by.is_some() => {
             begun.place.end(AttemptEnd::Refused);
-            Err(Failed::not_run(AttemptEnd::Refused))
+            Err(AttemptFailure::not_run(AttemptEnd::Refused))
         }
         () if !facts.is_authentic(status) => {
-            begun.place.end(AttemptEnd::NotTargetsAnswer);
-            Err(Failed::may_have_run(AttemptEnd::NotTargetsAnswer))
+            begun.place.end(AttemptEnd::UnverifiedAnswer);
+            Err(AttemptFailure::may_have_run(AttemptEnd::UnverifiedAnswer))
         }
         () => Ok(begun),
     }
 }
 
-fn request(
+fn build_request(
     cx: &Gateway,
     call: &Call,
     now: Instant,
@@ -316,14 +327,14 @@
         id: call.id.as_deref(),
         attempt: call.attempts.sent() + 1,
         fetch_from: ticket.fetch_from.as_ref().map(|t| t.address),
-        time_left: call.hold_until.since(now),
-        account: call.holder.as_ref().map(|h| &h.account),
+        time_left: call.deadline.since(now),
+        account: call.key_owner.as_ref().map(|h| &h.account),
         last_event_id: call.last_event,
         rank: (!call.plan.prompt.is_empty()).then_some(call.rank),
     };
     let mut req = Request::new(Full::new(call.body.clone()));
     *req.method_mut() = call.head.method.clone();
-    *req.uri_mut() = call.handed_uri();
+    *req.uri_mut() = call.target_uri();
     let mut headers = call.head.headers.clone();
     cx.dialect.write_forward_headers(&mut headers, &handover);
     span.inject(&mut headers);
--- a/src/edge/attempt_end.rs
+++ b/src/edge/attempt_end.rs
@@ -30,7 +30,7 @@
     /// The target announced that it accepts no calls while a connection to it was being opened.
     Withdrawn,
     /// The request is quarantined, because targets crashed while they ran it.
-    HeldBack,
+    Quarantined,
     /// This router has its maximum number of connections to the target.
     ConnectionsAtLimit,
     /// The target refused a connection.
@@ -38,29 +38,29 @@
     /// The target did not accept a connection in time, or the network path to it is broken.
     Unreachable,
     /// The connection closed before the call was written to it.
-    ClosedBefore,
+    ClosedBeforeSend,
     /// The connection closed before the head of an answer arrived.
     ConnectionBroke,
     /// The call's deadline passed before the answer was complete.
-    TimeUp,
+    DeadlineExceeded,
     /// The target sent nothing for longer than the timeout.
     Silent,
     /// The answer carries the id of another call.
-    AnotherAnswer,
+    AnswerToAnotherCall,
     /// Another target has the address now, and refused the call.
     AnotherTarget,
     /// The target refused the call and stated that it did not run it.
     Refused,
     /// A success response without the target's signature header, or one with an encoded body.
-    NotTargetsAnswer,
+    UnverifiedAnswer,
     /// The body of the answer ended before it was complete.
-    AnswerBrokeOff,
+    AnswerTruncated,
     /// The stream ended in the middle of an event.
-    EventCutOff,
+    EventTruncated,
     /// An event was larger than the maximum size.
     EventTooLarge,
     /// The stream of another target does not continue after the last event that the caller has.
-    DoesNotFollow,
+    NotContinued,
 }
 
 impl AttemptEnd {
@@ -78,22 +78,22 @@
             Self::AllLeaving => "all targets leave",
             Self::AllBackedOff => "all targets back off",
             Self::Withdrawn => "target withdrew",
-            Self::HeldBack => "held back",
+            Self::Quarantined => "held back",
             Self::ConnectionsAtLimit => "connections at limit",
             Self::ConnectionRefused => "connection refused",
             Self::Unreachable => "unreachable",
-            Self::ClosedBefore => "connection closed before",
+            Self::ClosedBeforeSend => "connection closed before",
             Self::ConnectionBroke => "connection broke",
-            Self::TimeUp => "time is up",
+            Self::DeadlineExceeded => "time is up",
             Self::Silent => "silent",
-            Self::AnotherAnswer => "answer to another call",
+            Self::AnswerToAnotherCall => "answer to another call",
             Self::AnotherTarget => "another target there",
             Self::Refused => "refused",
-            Self::NotTargetsAnswer => "not the target's answer",
-            Self::AnswerBrokeOff => "answer broke off",
-            Self::EventCutOff => "event cut off",
+            Self::UnverifiedAnswer => "not the target's answer",
+            Self::AnswerTruncated => "answer broke off",
+            Self::EventTruncated => "event cut off",
             Self::EventTooLarge => "event too large",
-            Self::DoesNotFollow => "does not go on where it broke off",
+            Self::NotContinued => "does not go on where it broke off",
         }
     }
 
@@ -101,7 +101,7 @@
     pub(crate) fn is_break(self) -> bool {
         matches!(
             self,
-            Self::ConnectionBroke | Self::AnswerBrokeOff | Self::EventCutOff
+            Self::ConnectionBroke | Self::AnswerTruncated | Self::EventTruncated
         )
     }
 
@@ -125,20 +125,20 @@
             | Self::AllLeaving
             | Self::AllBackedOff
             | Self::Withdrawn
-            | Self::HeldBack => None,
+            | Self::Quarantined => None,
             Self::ConnectionRefused
             | Self::Unreachable
-            | Self::ClosedBefore
+            | Self::ClosedBeforeSend
             | Self::ConnectionBroke
-            | Self::TimeUp
+            | Self::DeadlineExceeded
             | Self::Silent
-            | Self::AnotherAnswer
+            | Self::AnswerToAnotherCall
             | Self::AnotherTarget
-            | Self::NotTargetsAnswer
-            | Self::AnswerBrokeOff
-            | Self::EventCutOff
+            | Self::UnverifiedAnswer
+            | Self::AnswerTruncated
+            | Self::EventTruncated
             | Self::EventTooLarge
-            | Self::DoesNotFollow => Some(Outcome::Broken),
+            | Self::NotContinued => Some(Outcome::Broken),
         }
     }
 }
--- a/src/edge/body.rs
+++ b/src/edge/body.rs
@@ -13,20 +13,20 @@
 /// A stream ended before its last event; the caller's connection is closed without the end of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the stream broke off")]
-pub(crate) struct BrokeOff;
+pub(crate) struct StreamAborted;
 
 /// Sending half of a stream of events.
-pub(crate) type EventSender = mpsc::Sender<Result<Bytes, BrokeOff>>;
+pub(crate) type EventSender = mpsc::Sender<Result<Bytes, StreamAborted>>;
 
 /// Maximum number of events that wait for a slow caller; beyond it, no more is read from the target.
-const EVENT_QUEUE: usize = 16;
+const MAX_QUEUED_EVENTS: usize = 16;
 
 /// Body of a response.
 pub(crate) enum AnswerBody {
     /// Complete body.
     Whole(Full<Bytes>),
     /// Events as they arrive.
-    Events(mpsc::Receiver<Result<Bytes, BrokeOff>>),
+    Events(mpsc::Receiver<Result<Bytes, StreamAborted>>),
 }
 
 impl AnswerBody {
@@ -37,19 +37,19 @@
 
     /// Creates a stream, and returns the sender of its events.
     pub(crate) fn events() -> (EventSender, Self) {
-        let (tx, rx) = mpsc::channel(EVENT_QUEUE);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_EVENTS);
         (tx, Self::Events(rx))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = StreamAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamAborted>>> {
         match self.get_mut() {
             Self::Whole(full) => Pin::new(full)
                 .poll_frame(cx)
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -14,11 +14,11 @@
 use slog::info;
 
 use super::{
-    admission::{Arrived, admit, await_config},
-    attempt::{Begun, Call, Failed, attempt},
+    admission::{IncomingCall, admit, await_config},
+    attempt::{AttemptFailure, Call, StartedAnswer, attempt},
     attempt_end::AttemptEnd,
     body::AnswerBody,
-    ending::{Ending, give_up, pass_on, refuse},
+    ending::{CallGuard, give_up, pass_on, refuse},
     gateway::Gateway,
     once, stream, view,
 };
@@ -31,45 +31,45 @@
 };
 
 /// Maximum size of a plain (not streamed) answer, in bytes; it is read completely before it is passed on.
-const ANSWER_LIMIT: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Multiple of the route's latency goal that a repeatable plain call waits for its answer before it
 /// is sent to another target. The tail of a target's own latencies is well within it.
-const PATIENCE: f64 = 1.5;
+const GOAL_TIMEOUT_FACTOR: f64 = 1.5;
 
 /// Minimum time that an attempt of a plain call waits for the head of its answer, if the call has that
 /// much time left.
-const LEAST_PATIENCE: Duration = Duration::from_millis(120);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// The caller's request ended early, so that no answer can be sent and the connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the caller's request ended early")]
-pub(crate) struct Cut;
+pub(crate) struct RequestAborted;
 
 /// Handles one request of a caller: a page of the router itself, or a call to a target.
 pub(crate) async fn on_call(
     cx: &Rc<Gateway>,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Cut> {
+) -> Result<Response<AnswerBody>, RequestAborted> {
     let received = cx.now();
     let (head, body_stream) = req.into_parts();
     let id = cx.dialect.call_id(&head.headers);
     if let Some(page) = cx.dialect.page(&head) {
-        let mut res = on_page(cx, page, &head);
+        let mut res = serve_page(cx, page, &head);
         cx.dialect
             .write_call_id(res.headers_mut(), id.as_deref().unwrap_or_default());
         return Ok(res);
     }
-    let mut ending = Ending::new(cx, id.as_deref());
+    let mut ending = CallGuard::new(cx, id.as_deref());
     let body = match read_body(cx, &head.headers, body_stream).await {
         Ok(body) => body,
-        Err(NoBody::Cut) => return Err(Cut),
-        Err(NoBody::Slow) => {
+        Err(BodyError::Cut) => return Err(RequestAborted),
+        Err(BodyError::TimedOut) => {
             let refusal = Refusal::new(ResultCode::SlowSender, "the body did not arrive in time");
             return Ok(refuse(cx, &ending, refusal));
         }
     };
-    let incoming_call = Arrived {
+    let incoming_call = IncomingCall {
         head,
         body,
         id,
@@ -81,9 +81,9 @@
         Err(refusal) => return Ok(refuse(cx, &ending, refusal)),
     };
     ending.route.clone_from(&call.route.name);
-    ending.hold(place);
+    ending.set_account_place(place);
     Ok(match () {
-        () if call.route.claimed => once::serve_once(cx, call, ending).await,
+        () if call.route.claimed => once::serve_claimed(cx, call, ending).await,
         () if call.route.kind.is_stream() => stream::serve(cx, call, ending).await,
         () => serve_plain(cx, call, ending).await,
     })
@@ -104,7 +104,7 @@
 }
 
 /// Answers a request for one of the router's own pages. The list of models requires a valid key.
-fn on_page(cx: &Gateway, page: BuiltInPage, head: &request::Parts) -> Response<AnswerBody> {
+fn serve_page(cx: &Gateway, page: BuiltInPage, head: &request::Parts) -> Response<AnswerBody> {
     match page {
         BuiltInPage::Alive => reply::with_body(200, "text/plain", "ok\n"),
         BuiltInPage::Ready if cx.is_ready() => reply::with_body(200, "text/plain", "ready\n"),
@@ -115,14 +115,14 @@
             let config = cx.serving();
             let is_known = |key: &str| config.as_ref().is_some_and(|c| c.key_owner(key).is_some());
             match key.as_deref().is_some_and(is_known) {
-                true => models(cx),
+                true => list_models(cx),
                 false => reply::error(ResultCode::WrongKey, "no such key"),
             }
         }
     }
 }
 
-fn models(cx: &Gateway) -> Response<AnswerBody> {
+fn list_models(cx: &Gateway) -> Response<AnswerBody> {
     cx.accepted_changes.with_log(|log| {
         let entry = |name| ModelEntry {
             id: name,
@@ -140,11 +140,11 @@
 }
 
 /// Reason why the body of a request could not be read.
-enum NoBody {
+enum BodyError {
     /// The caller closed the connection before the body was complete.
     Cut,
     /// The body did not arrive within the time limit.
-    Slow,
+    TimedOut,
 }
 
 /// Reads the whole body of a request; returns `None` if it is above the size limit.
@@ -152,7 +152,7 @@
     cx: &Gateway,
     headers: &HeaderMap,
     body_stream: Incoming,
-) -> Result<Option<Bytes>, NoBody> {
+) -> Result<Option<Bytes>, BodyError> {
     let limits = cx.caller_limits();
     let content_length = headers.get(header::CONTENT_LENGTH);
     let content_length = content_length.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
@@ -164,63 +164,63 @@
     match cx.clock.timeout_at(until, reading).await {
         Some(Ok(body)) => Ok(Some(body.to_bytes())),
         Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Ok(None),
-        Some(Err(_)) => Err(NoBody::Cut),
-        None => Err(NoBody::Slow),
+        Some(Err(_)) => Err(BodyError::Cut),
+        None => Err(BodyError::TimedOut),
     }
 }
 
 /// Result of a call whose answer is read completely before it is passed on.
-pub(crate) enum Served {
+pub(crate) enum CallResult {
     /// A target answered.
-    Answer(Whole),
+    Answer(CompleteAnswer),
     /// No target answered, and no further attempt is made.
-    GaveUp(Failed),
+    GaveUp(AttemptFailure),
 }
 
-async fn serve_plain(cx: &Rc<Gateway>, mut call: Call, ending: Ending) -> Response<AnswerBody> {
-    let served = serve(cx, &mut call).await;
+async fn serve_plain(cx: &Rc<Gateway>, mut call: Call, ending: CallGuard) -> Response<AnswerBody> {
+    let served = run_attempts(cx, &mut call).await;
     respond(cx, &ending, &call, served)
 }
 
 /// Builds the response to a call that was served or given up.
 pub(crate) fn respond(
     cx: &Gateway,
-    ending: &Ending,
+    ending: &CallGuard,
     call: &Call,
-    served: Served,
+    served: CallResult,
 ) -> Response<AnswerBody> {
     match served {
-        Served::Answer(answer) => pass_on(cx, ending, call, answer),
-        Served::GaveUp(failed) => give_up(cx, ending, call, failed),
+        CallResult::Answer(answer) => pass_on(cx, ending, call, answer),
+        CallResult::GaveUp(failed) => give_up(cx, ending, call, failed),
     }
 }
 
 /// Makes attempts until a target answers or no further attempt is allowed. If the last attempt
 /// fails, an error response that a target sent earlier is returned.
-pub(crate) async fn serve(cx: &Rc<Gateway>, call: &mut Call) -> Served {
+pub(crate) async fn run_attempts(cx: &Rc<Gateway>, call: &mut Call) -> CallResult {
     let mut last_answer = None;
     let mut previous = None;
     loop {
-        let timeout = patience(cx, call, PATIENCE, LEAST_PATIENCE);
+        let timeout = attempt_timeout(cx, call, GOAL_TIMEOUT_FACTOR, MIN_ATTEMPT_TIMEOUT);
         let failed = match attempt(cx, call, timeout).await {
             Ok(begun) => match read_answer(cx, call, begun).await {
                 Ok(answer) if answer.0.status.is_server_error() => {
                     last_answer = Some(answer);
-                    Failed {
-                        fate: Execution::Ran,
+                    AttemptFailure {
+                        execution: Execution::Ran,
                         end: AttemptEnd::TargetError,
                         nowhere: false,
                     }
                 }
-                Ok(answer) => return Served::Answer(answer),
+                Ok(answer) => return CallResult::Answer(answer),
                 Err(failed) => failed,
             },
             Err(failed) => failed,
         };
-        if !may_repeat(cx, call, failed) {
+        if !take_retry(cx, call, failed) {
             return match last_answer {
-                Some(answer) => Served::Answer(answer),
-                None => Served::GaveUp(failed.after(previous)),
+                Some(answer) => CallResult::Answer(answer),
+                None => CallResult::GaveUp(failed.or_previous(previous)),
             };
         }
         previous = Some(failed);
@@ -228,9 +228,9 @@
 }
 
 /// Returns whether another attempt may be made, and takes it from the retry budget.
-pub(crate) fn may_repeat(cx: &Gateway, call: &Call, failed: Failed) -> bool {
+pub(crate) fn take_retry(cx: &Gateway, call: &Call, failed: AttemptFailure) -> bool {
     let now = cx.now();
-    if failed.nowhere || now >= call.hold_until {
+    if failed.nowhere || now >= call.deadline {
         return false;
     }
     if !call
@@ -249,8 +249,13 @@
 
 /// Computes how long an attempt waits for the head of its answer: a multiple of the route's goal
 /// (but at least `minimum`) if another attempt may follow, and otherwise all of the time that is left.
-pub(crate) fn patience(cx: &Gateway, call: &Call, goal_factor: f64, minimum: Duration) -> Duration {
-    let time_left = call.hold_until.since(cx.now());
+pub(crate) fn attempt_timeout(
+    cx: &Gateway,
+    call: &Call,
+    goal_factor: f64,
+    minimum: Duration,
+) -> Duration {
+    let time_left = call.deadline.since(cx.now());
     let may_follow = call.attempts.sent() + 1 < call.route.max_attempts;
     match call.route.kind.is_repeatable() && may_follow {
         true => call
@@ -264,45 +269,53 @@
 }
 
 /// Head and complete body of a target's answer.
-pub(crate) type Whole = (response::Parts, Bytes);
+pub(crate) type CompleteAnswer = (response::Parts, Bytes);
 
-async fn read_answer(cx: &Gateway, call: &mut Call, begun: Begun) -> Result<Whole, Failed> {
-    let Begun {
+async fn read_answer(
+    cx: &Gateway,
+    call: &mut Call,
+    begun: StartedAnswer,
+) -> Result<CompleteAnswer, AttemptFailure> {
+    let StartedAnswer {
         mut head,
         body,
         facts,
         conn,
         place,
     } = begun;
-    let reading = Limited::new(body, ANSWER_LIMIT).collect();
-    let read = cx.clock.timeout_at(call.hold_until, reading).await;
+    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
+    let read = cx.clock.timeout_at(call.deadline, reading).await;
     let end = match &read {
         Some(Ok(_)) if head.status.is_server_error() => AttemptEnd::TargetError,
         Some(Ok(_)) => AttemptEnd::Answered,
-        Some(Err(_)) => AttemptEnd::AnswerBrokeOff,
-        None => AttemptEnd::TimeUp,
+        Some(Err(_)) => AttemptEnd::AnswerTruncated,
+        None => AttemptEnd::DeadlineExceeded,
     };
     place.end(end);
     call.attempts.on_attempt_end(Execution::Ran);
     let Some(Ok(collected)) = read else {
-        return Err(Failed {
-            fate: Execution::Ran,
+        return Err(AttemptFailure {
+            execution: Execution::Ran,
             end,
             nowhere: false,
         });
     };
-    keep(cx, conn, &facts).await;
+    return_to_pool(cx, conn, &facts).await;
     strip_connection_headers(&mut head.headers);
     Ok((head, collected.to_bytes()))
 }
 
 /// Returns a connection to the pool for the next call, unless it is closed or will be closed.
-pub(crate) async fn keep(cx: &Gateway, mut conn: super::conn::Conn, facts: &ResponseInfo) {
+pub(crate) async fn return_to_pool(
+    cx: &Gateway,
+    mut conn: super::conn::Conn,
+    facts: &ResponseInfo,
+) {
     if facts.closes_connection {
         return;
     }
     if conn.sender.ready().await.is_ok() {
-        cx.conns.rest(cx.now(), conn, facts.keep_alive);
+        cx.conns.put_idle(cx.now(), conn, facts.keep_alive);
     }
 }
 
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -21,26 +21,26 @@
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Maximum size of the read buffer of a target's connection, and so of the head of an answer, in bytes.
-const HEAD_LIMIT: usize = 64 << 10;
+const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Time for which sent bytes may stay unacknowledged before the operating system closes the connection.
 pub(crate) const UNACKED_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Fraction of a target's `Keep-Alive` timeout for which an idle connection is used again.
-const REST_PART: f64 = 0.7;
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
 /// Time for which an idle connection is used again if the target states no `Keep-Alive` timeout.
-const REST_UNTOLD: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(2);
 
 /// Initial maximum idle time after which a connection may carry a call that must not be sent twice: half of
 /// the `Keep-Alive` timeout of the targets at the users' sites.
-const CAREFUL_REST: Duration = Duration::from_secs(5);
+const MAX_UNREPEATABLE_IDLE: Duration = Duration::from_secs(5);
 
 /// Minimum to which that idle time is reduced when idle connections turn out to be closed without notice.
-const CAREFUL_REST_LEAST: Duration = Duration::from_millis(250);
+const MIN_UNREPEATABLE_IDLE: Duration = Duration::from_millis(250);
 
 /// Interval in which that idle time doubles again after a reduction.
-const CAREFUL_REST_DOUBLES: Duration = Duration::from_secs(15);
+const IDLE_DOUBLING_INTERVAL: Duration = Duration::from_secs(15);
 
 /// One open connection; dropping it closes it.
 pub(crate) struct Conn {
@@ -65,7 +65,7 @@
     }
 }
 
-struct Resting {
+struct IdleConn {
     conn: Conn,
     since: Instant,
     until: Instant,
@@ -73,7 +73,7 @@
 
 /// Reason why no connection to a target could be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NoConn {
+pub(crate) enum ConnectError {
     /// This router has as many connections to the target as its share allows.
     AtLimit,
     /// The connection was refused: nothing listens at the address.
@@ -85,15 +85,15 @@
 /// Connections of this router to all targets, idle or in use.
 #[derive(Default)]
 pub(crate) struct ConnPool {
-    resting: RefCell<HashMap<TargetId, Vec<Resting>>>,
+    idle: RefCell<HashMap<TargetId, Vec<IdleConn>>>,
     open: RefCell<HashMap<TargetId, usize>>,
-    careful: Cell<Option<CarefulRest>>,
+    reduced_idle: Cell<Option<ReducedIdle>>,
 }
 
 /// Reduced maximum idle time for calls that must not be sent twice, and when it was reduced.
 #[derive(Debug, Clone, Copy)]
-struct CarefulRest {
-    longest: Duration,
+struct ReducedIdle {
+    max_idle: Duration,
     since: Instant,
 }
 
@@ -103,9 +103,9 @@
     pub(crate) fn take(&self, now: Instant, target: &TargetId, repeatable: bool) -> Option<Conn> {
         let max_idle = match repeatable {
             true => Duration::MAX,
-            false => self.careful_rest(now),
+            false => self.unrepeatable_idle(now),
         };
-        let mut all = self.resting.borrow_mut();
+        let mut all = self.idle.borrow_mut();
         let conns = all.get_mut(target)?;
         loop {
             let latest = conns.pop()?;
@@ -130,21 +130,21 @@
     /// Handles a connection that broke under a call after it was idle for `idle_time`. Others may be closed as
     /// well, so the maximum idle time for calls that must not be sent twice is reduced to at most half of
     /// `idle_time`, but not below its minimum.
-    pub(crate) fn on_broke_after(&self, now: Instant, idle_time: Duration) {
-        let longest = self.careful_rest(now).min(idle_time / 2);
-        self.careful.set(Some(CarefulRest {
-            longest: longest.max(CAREFUL_REST_LEAST),
+    pub(crate) fn on_idle_conn_broke(&self, now: Instant, idle_time: Duration) {
+        let longest = self.unrepeatable_idle(now).min(idle_time / 2);
+        self.reduced_idle.set(Some(ReducedIdle {
+            max_idle: longest.max(MIN_UNREPEATABLE_IDLE),
             since: now,
         }));
     }
 
-    fn careful_rest(&self, now: Instant) -> Duration {
-        let Some(reduced) = self.careful.get() else {
-            return CAREFUL_REST;
+    fn unrepeatable_idle(&self, now: Instant) -> Duration {
+        let Some(reduced) = self.reduced_idle.get() else {
+            return MAX_UNREPEATABLE_IDLE;
         };
-        let doublings = now.since(reduced.since).as_secs() / CAREFUL_REST_DOUBLES.as_secs();
-        let longest = reduced.longest * 2u32.saturating_pow(doublings.min(16) as u32);
-        longest.min(CAREFUL_REST)
+        let doublings = now.since(reduced.since).as_secs() / IDLE_DOUBLING_INTERVAL.as_secs();
+        let longest = reduced.max_idle * 2u32.saturating_pow(doublings.min(16) as u32);
+        longest.min(MAX_UNREPEATABLE_IDLE)
     }
 
     /// Opens a connection, unless `limit` connections to the target are open or being opened already.
@@ -153,20 +153,20 @@
         target: &TargetId,
         address: SocketAddr,
         limit: usize,
-    ) -> Result<Conn, NoConn> {
+    ) -> Result<Conn, ConnectError> {
         if self.open_count(target) >= limit {
-            return Err(NoConn::AtLimit);
+            return Err(ConnectError::AtLimit);
         }
         *self.open.borrow_mut().entry(target.clone()).or_default() += 1;
-        let counted = Counted {
+        let counted = OpeningGuard {
             pool: Rc::clone(self),
             target: target.clone(),
         };
         let opened = tokio::time::timeout(CONNECT_TIMEOUT, dial(address)).await;
         let (sender, task) = match opened {
             Ok(Ok(dialled)) => dialled,
-            Ok(Err(e)) if e.is_refused() => return Err(NoConn::Refused),
-            Ok(Err(_)) | Err(_) => return Err(NoConn::Unreachable),
+            Ok(Err(e)) if e.is_refused() => return Err(ConnectError::Refused),
+            Ok(Err(_)) | Err(_) => return Err(ConnectError::Unreachable),
         };
         std::mem::forget(counted);
         Ok(Conn {
@@ -180,24 +180,24 @@
 
     /// Puts a connection whose call has ended into the pool. It is used again for a fraction of the target's
     /// `Keep-Alive` timeout.
-    pub(crate) fn rest(&self, now: Instant, conn: Conn, keep_alive: Option<Duration>) {
-        let idle_limit = keep_alive.map_or(REST_UNTOLD, |t| t.mul_f64(REST_PART));
+    pub(crate) fn put_idle(&self, now: Instant, conn: Conn, keep_alive: Option<Duration>) {
+        let idle_limit = keep_alive.map_or(DEFAULT_IDLE_TIME, |t| t.mul_f64(KEEP_ALIVE_FRACTION));
         let target = conn.target.clone();
-        let idle_conn = Resting {
+        let idle_conn = IdleConn {
             conn,
             since: now,
             until: now + idle_limit,
         };
-        let mut all = self.resting.borrow_mut();
+        let mut all = self.idle.borrow_mut();
         all.entry(target).or_default().push(idle_conn);
     }
 
     /// Closes idle connections whose time has run out or that the target has closed.
     pub(crate) fn on_tick(&self, now: Instant) {
         let mut expired = Vec::new();
-        let mut all = self.resting.borrow_mut();
+        let mut all = self.idle.borrow_mut();
         for conns in all.values_mut() {
-            let usable = |r: &Resting| now < r.until && !r.conn.sender.is_closed();
+            let usable = |r: &IdleConn| now < r.until && !r.conn.sender.is_closed();
             expired.extend(conns.extract_if(.., |r| !usable(r)));
         }
         all.retain(|_, conns| !conns.is_empty());
@@ -206,8 +206,8 @@
     }
 
     /// Closes all idle connections to a target that was removed.
-    pub(crate) fn forget(&self, target: &TargetId) {
-        let conns = self.resting.borrow_mut().remove(target);
+    pub(crate) fn close_idle(&self, target: &TargetId) {
+        let conns = self.idle.borrow_mut().remove(target);
         drop(conns);
     }
 
@@ -226,12 +226,12 @@
 }
 
 /// Counts a connection that is being opened; if the attempt fails, dropping it takes the count back.
-struct Counted {
+struct OpeningGuard {
     pool: Rc<ConnPool>,
     target: TargetId,
 }
 
-impl Drop for Counted {
+impl Drop for OpeningGuard {
     fn drop(&mut self) {
         self.pool.on_close(&self.target);
     }
@@ -241,9 +241,9 @@
 
 async fn dial(address: SocketAddr) -> crate::Result<Dialled> {
     let stream = TcpStream::connect(address).await?;
-    prepare(&stream);
+    set_socket_options(&stream);
     let (sender, connection) = http1::Builder::new()
-        .max_buf_size(HEAD_LIMIT)
+        .max_buf_size(MAX_READ_BUFFER_BYTES)
         .handshake(TokioIo::new(stream))
         .await
         .map_err(|e| crate::Error::Protocol(e.to_string()))?;
@@ -255,7 +255,7 @@
 }
 
 /// Sets the socket options of each of the gateway's connections.
-pub(crate) fn prepare(stream: &TcpStream) {
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     // Both options only save time; a connection without them still works.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT));
--- a/src/edge/ending.rs
+++ b/src/edge/ending.rs
@@ -10,10 +10,10 @@
 
 use super::{
     accounts::AccountPlace,
-    attempt::{Call, Failed},
+    attempt::{AttemptFailure, Call},
     attempt_end::AttemptEnd,
     body::AnswerBody,
-    call::Whole,
+    call::CompleteAnswer,
     endings,
     gateway::Gateway,
 };
@@ -30,10 +30,10 @@
 
 /// Mean delay after which a refused caller should retry, unless a better one is known. By then, the
 /// retry reaches another router.
-const COME_BACK: Duration = Duration::from_millis(100);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Error text for a call whose request is quarantined.
-pub(super) const HELD_BACK: &str = "targets crashed while they ran this request";
+pub(super) const QUARANTINE_TEXT: &str = "targets crashed while they ran this request";
 
 /// Counts a call as in progress until it is dropped.
 struct InProgressGuard(Rc<Gateway>);
@@ -53,19 +53,19 @@
 
 /// A call that is in progress. Its end is logged once; if it is dropped before that, the call is logged
 /// as left by its caller.
-pub(crate) struct Ending {
+pub(crate) struct CallGuard {
     cx: Rc<Gateway>,
     id: String,
     pub(crate) route: String,
     pub(crate) fingerprint: Option<Fingerprint>,
     received: Instant,
-    told: Cell<bool>,
+    is_logged: Cell<bool>,
     place: Option<AccountPlace>,
     _guard: InProgressGuard,
 }
 
 /// How a call ended, for the log and the metrics.
-pub(crate) struct End<'a> {
+pub(crate) struct CallEnd<'a> {
     /// Name of the result code; `ok` or `target_error` if a target answered.
     pub(crate) name: &'static str,
     /// Number of the result code; 0 if a target answered.
@@ -76,9 +76,9 @@
     pub(crate) why: &'a str,
 }
 
-impl<'a> End<'a> {
+impl<'a> CallEnd<'a> {
     /// Creates the end of a call that failed with a result code of the router.
-    pub(crate) fn coded(code: ResultCode, why: &'a str) -> Self {
+    pub(crate) fn failed(code: ResultCode, why: &'a str) -> Self {
         Self {
             name: code.name(),
             number: code.number(),
@@ -102,7 +102,7 @@
     }
 }
 
-impl Ending {
+impl CallGuard {
     /// Starts tracking a call that has just arrived.
     pub(crate) fn new(cx: &Rc<Gateway>, id: Option<&str>) -> Self {
         Self {
@@ -111,20 +111,20 @@
             route: String::new(),
             fingerprint: None,
             received: cx.now(),
-            told: Cell::new(false),
+            is_logged: Cell::new(false),
             place: None,
             _guard: InProgressGuard::new(cx),
         }
     }
 
     /// Keeps the call's share of its account's concurrency limit until the call ends.
-    pub(crate) fn hold(&mut self, place: Option<AccountPlace>) {
+    pub(crate) fn set_account_place(&mut self, place: Option<AccountPlace>) {
         self.place = place;
     }
 
     /// Records the end of the call in the log, the metrics and the trace.
-    pub(crate) fn tell(&self, end: End<'_>, attempts: Attempts) {
-        self.told.set(true);
+    pub(crate) fn record_end(&self, end: CallEnd<'_>, attempts: Attempts) {
+        self.is_logged.set(true);
         let now = self.cx.now();
         let took = now.since(self.received);
         self.cx.metrics.on_call(end.name, end.number, took);
@@ -141,14 +141,14 @@
     }
 }
 
-impl Drop for Ending {
+impl Drop for CallGuard {
     fn drop(&mut self) {
-        if !self.told.get() {
-            let end = End {
+        if !self.is_logged.get() {
+            let end = CallEnd {
                 status: 0,
-                ..End::coded(ResultCode::CallerGone, "caller left")
+                ..CallEnd::failed(ResultCode::CallerGone, "caller left")
             };
-            self.tell(end, Attempts::default());
+            self.record_end(end, Attempts::default());
         }
     }
 }
@@ -156,13 +156,13 @@
 /// Passes a target's complete answer on to the caller.
 pub(crate) fn pass_on(
     cx: &Gateway,
-    ending: &Ending,
+    ending: &CallGuard,
     call: &Call,
-    answer: Whole,
+    answer: CompleteAnswer,
 ) -> Response<AnswerBody> {
     let (head, body) = answer;
-    ending.tell(End::answered(head.status), call.attempts);
-    finish(
+    ending.record_end(CallEnd::answered(head.status), call.attempts);
+    finish_response(
         cx,
         ending,
         Response::from_parts(head, AnswerBody::whole(body)),
@@ -171,9 +171,9 @@
 
 /// Writes the call's id to the response's headers, and has the caller's connection closed after the
 /// response if the router is stopping.
-pub(crate) fn finish(
+pub(crate) fn finish_response(
     cx: &Gateway,
-    ending: &Ending,
+    ending: &CallGuard,
     mut res: Response<AnswerBody>,
 ) -> Response<AnswerBody> {
     cx.dialect.write_call_id(res.headers_mut(), &ending.id);
@@ -187,39 +187,39 @@
 /// Builds the response to a call that was not served; it depends on whether the call may have run.
 pub(crate) fn give_up(
     cx: &Gateway,
-    ending: &Ending,
+    ending: &CallGuard,
     call: &Call,
-    failed: Failed,
+    failed: AttemptFailure,
 ) -> Response<AnswerBody> {
     match call.attempts.not_run() {
-        Some(proof) => tell_not_run(cx, ending, call, failed, proof),
+        Some(proof) => respond_not_run(cx, ending, call, failed, proof),
         None => {
-            let code = match cx.now() >= call.hold_until {
+            let code = match cx.now() >= call.deadline {
                 true => ResultCode::TargetTimeout,
                 false => ResultCode::OutcomeUnknown,
             };
-            ending.tell(End::coded(code, failed.end.name()), call.attempts);
-            finish(cx, ending, reply::error(code, failed.end.name()))
+            ending.record_end(CallEnd::failed(code, failed.end.name()), call.attempts);
+            finish_response(cx, ending, reply::error(code, failed.end.name()))
         }
     }
 }
 
-fn tell_not_run(
+fn respond_not_run(
     cx: &Gateway,
-    ending: &Ending,
+    ending: &CallGuard,
     call: &Call,
-    failed: Failed,
+    failed: AttemptFailure,
     _proof: NotRun,
 ) -> Response<AnswerBody> {
     let (code, text) = match failed.end {
         AttemptEnd::AllFull => (ResultCode::Overloaded, "all targets are full"),
-        AttemptEnd::HeldBack => (ResultCode::HeldBack, HELD_BACK),
+        AttemptEnd::Quarantined => (ResultCode::HeldBack, QUARANTINE_TEXT),
         AttemptEnd::AllCold => (ResultCode::Overloaded, "all targets are cold"),
         AttemptEnd::AllBackedOff => (ResultCode::Overloaded, "all targets back off"),
         _ if call.attempts.sent() > 0 => (ResultCode::TargetRefused, "no target took the request"),
         end => (ResultCode::NoTarget, end.name()),
     };
-    ending.tell(End::coded(code, failed.end.name()), call.attempts);
+    ending.record_end(CallEnd::failed(code, failed.end.name()), call.attempts);
     let no_capacity = matches!(code, ResultCode::Overloaded | ResultCode::TargetRefused);
     let none_left = matches!(
         failed.end,
@@ -227,16 +227,16 @@
     );
     let is_shortage = no_capacity || none_left;
     let come_back = match failed.end {
-        AttemptEnd::HeldBack => endings::held_back(cx, call.fingerprint),
-        _ => is_shortage.then(|| come_back(cx, call)),
+        AttemptEnd::Quarantined => endings::quarantine_time_left(cx, call.fingerprint),
+        _ => is_shortage.then(|| retry_after(cx, call)),
     };
-    answer(cx, ending, code, text, come_back)
+    respond_error(cx, ending, code, text, come_back)
 }
 
 /// Computes after which delay a caller should retry whose call found no free capacity, and logs it.
-fn come_back(cx: &Gateway, call: &Call) -> Duration {
+fn retry_after(cx: &Gateway, call: &Call) -> Duration {
     let now = cx.now();
-    let (service, time_left) = (&call.plan.service, call.hold_until.since(now));
+    let (service, time_left) = (&call.plan.service, call.deadline.since(now));
     let dispatcher = cx.dispatcher.borrow();
     let retry_after = dispatcher.retry_after(now, service, time_left, rand::random());
     cx.metrics.on_capacity_refused(retry_after);
@@ -250,28 +250,28 @@
 }
 
 /// Refuses a call of which nothing was sent to a target.
-pub(crate) fn refuse(cx: &Gateway, ending: &Ending, refusal: Refusal) -> Response<AnswerBody> {
+pub(crate) fn refuse(cx: &Gateway, ending: &CallGuard, refusal: Refusal) -> Response<AnswerBody> {
     let Refusal {
         code,
         why,
         retry_after,
     } = refusal;
     let why: Cow<'static, str> = why;
-    ending.tell(End::coded(code, &why), Attempts::default());
-    answer(cx, ending, code, &why, retry_after)
+    ending.record_end(CallEnd::failed(code, &why), Attempts::default());
+    respond_error(cx, ending, code, &why, retry_after)
 }
 
 /// Builds an error response of the router. A 429 or 503 always has a `Retry-After`; without one given,
 /// it is spread over 0.5 to 1.5 times the default.
-fn answer(
+fn respond_error(
     cx: &Gateway,
-    ending: &Ending,
+    ending: &CallGuard,
     code: ResultCode,
     why: &str,
     retry_after: Option<Duration>,
 ) -> Response<AnswerBody> {
     let mut res = reply::error(code, why);
-    let default_delay = || COME_BACK.mul_f64(rand::random_range(0.5..1.5));
+    let default_delay = || DEFAULT_RETRY_AFTER.mul_f64(rand::random_range(0.5..1.5));
     let header_value = match code.status() {
         429 | 503 => Some(retry_after.unwrap_or_else(default_delay)),
         _ => retry_after,
@@ -280,5 +280,5 @@
     if let Some(Ok(header_value)) = header_value {
         res.headers_mut().insert(header::RETRY_AFTER, header_value);
     }
-    finish(cx, ending, res)
+    finish_response(cx, ending, res)
 }
--- a/src/edge/endings.rs
+++ b/src/edge/endings.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 
 use super::{
-    conn::{Conn, NoConn},
+    conn::{Conn, ConnectError},
     gateway::Gateway,
 };
 use crate::{
@@ -21,26 +21,26 @@
 };
 
 /// Interval between tries to write an entry that the store did not accept.
-const WRITE_AGAIN: Duration = Duration::from_millis(300);
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// An attempt whose connection or answer broke off.
-struct BrokenOff {
+struct BrokenAttempt {
     call: String,
     request: Fingerprint,
 }
 
 /// Broken attempts, by target, while it is being checked whether the target crashed.
 #[derive(Default)]
-pub(crate) struct Endings {
-    broken_off: RefCell<FxHashMap<TargetId, Vec<BrokenOff>>>,
+pub(crate) struct CrashChecks {
+    broken_attempts: RefCell<FxHashMap<TargetId, Vec<BrokenAttempt>>>,
     /// Wakes the task that writes quarantined requests to the store.
-    unsaved: Notify,
+    wake_writer: Notify,
 }
 
 /// Handles an attempt that broke off. To find out whether the target crashed, one connection is opened to it
 /// for all attempts that broke off there: a target that is still running accepts it, and it is used for the
 /// next call.
-pub(super) fn on_broke_off(
+pub(super) fn on_attempt_broke(
     cx: &Rc<Gateway>,
     target: &Rc<TargetRecord>,
     call: &str,
@@ -53,45 +53,49 @@
     if is_irrelevant {
         return;
     }
-    let mut broken_off = cx.crash_checks.broken_off.borrow_mut();
+    let mut broken_off = cx.crash_checks.broken_attempts.borrow_mut();
     let at_target = broken_off.entry(target.id.clone()).or_default();
-    at_target.push(BrokenOff {
+    at_target.push(BrokenAttempt {
         call: call.to_owned(),
         request,
     });
     if at_target.len() == 1 {
-        tokio::task::spawn_local(look_at(Rc::clone(cx), Rc::clone(target)));
+        tokio::task::spawn_local(check_target(Rc::clone(cx), Rc::clone(target)));
     }
 }
 
-async fn look_at(cx: Rc<Gateway>, target: Rc<TargetRecord>) {
+async fn check_target(cx: Rc<Gateway>, target: Rc<TargetRecord>) {
     let opened = cx.conns.open(&target.id, target.address, usize::MAX);
     let opened = opened.await;
-    let broken_off = cx.crash_checks.broken_off.borrow_mut().remove(&target.id);
+    let broken_off = cx
+        .crash_checks
+        .broken_attempts
+        .borrow_mut()
+        .remove(&target.id);
     let broken_off = broken_off.unwrap_or_default();
     match opened {
-        Ok(conn) => keep(&cx, conn),
-        Err(NoConn::Refused) => on_ended(&cx, &target.id, &broken_off),
-        Err(NoConn::Unreachable | NoConn::AtLimit) => {
+        Ok(conn) => return_to_pool(&cx, conn),
+        Err(ConnectError::Refused) => on_crash(&cx, &target.id, &broken_off),
+        Err(ConnectError::Unreachable | ConnectError::AtLimit) => {
             info!(cx.log, "not known whether a target crashed"; "target" => %target.id,
                 "calls" => broken_off.len());
         }
     }
 }
 
-fn keep(cx: &Gateway, conn: Conn) {
+fn return_to_pool(cx: &Gateway, conn: Conn) {
     cx.metrics.connections_opened.inc();
-    cx.conns.rest(cx.now(), conn, None);
+    cx.conns.put_idle(cx.now(), conn, None);
 }
 
-fn on_ended(cx: &Gateway, target: &TargetId, broken_off: &[BrokenOff]) {
+fn on_crash(cx: &Gateway, target: &TargetId, broken_off: &[BrokenAttempt]) {
     let now = cx.now();
     cx.dispatcher
         .borrow_mut()
         .health
         .outages
         .on_refused(now, target.into());
-    for BrokenOff { call, request } in broken_off {
+    for BrokenAttempt { call, request } in broken_off {
         let change = {
             let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
             quarantine.on_crash(now, *request, target.into())
@@ -100,7 +104,7 @@
             "calls" => broken_off.len());
         log_change(cx, *request, change, "targets crashed here");
         if change.is_some() {
-            cx.crash_checks.unsaved.notify_one();
+            cx.crash_checks.wake_writer.notify_one();
         }
     }
 }
@@ -126,7 +130,7 @@
 }
 
 /// Handles a peer's notices of targets that crashed under requests, and of requests that it quarantined.
-pub(super) fn on_peer(
+pub(super) fn on_notices(
     cx: &Gateway,
     now: Instant,
     crashes: &[CrashNotice],
@@ -166,19 +170,19 @@
         peers.is_owner_of(now, &request.to_string())
     };
     if (cx.dispatcher.borrow_mut().quarantine).mark_unsaved(is_owner) {
-        cx.crash_checks.unsaved.notify_one();
+        cx.crash_checks.wake_writer.notify_one();
     }
 }
 
 /// Returns the time left of the quarantine of a call's request; `None` if it is not quarantined. The
 /// call counts as refused, which may renew the request's entry in the store.
-pub(super) fn held_back(cx: &Gateway, request: Fingerprint) -> Option<Duration> {
+pub(super) fn quarantine_time_left(cx: &Gateway, request: Fingerprint) -> Option<Duration> {
     let now = cx.now();
     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
     let time_left = quarantine.time_left(now, request)?;
     quarantine.on_refused(now, request);
     if !quarantine.unsaved().is_empty() {
-        cx.crash_checks.unsaved.notify_one();
+        cx.crash_checks.wake_writer.notify_one();
     }
     Some(time_left)
 }
@@ -203,11 +207,11 @@
 }
 
 /// Writes quarantined requests to the store, under leases as long as the quarantine.
-pub(super) async fn save(cx: Rc<Gateway>) {
+pub(super) async fn write_quarantined(cx: Rc<Gateway>) {
     loop {
         let unsaved = cx.dispatcher.borrow().quarantine.unsaved();
         if unsaved.is_empty() {
-            cx.crash_checks.unsaved.notified().await;
+            cx.crash_checks.wake_writer.notified().await;
             continue;
         }
         for request in unsaved {
@@ -222,7 +226,7 @@
                 }
                 Err(e) => {
                     info!(cx.log, "held request not entered"; "fingerprint" => %request, "why" => %e);
-                    tokio::time::sleep(WRITE_AGAIN).await;
+                    tokio::time::sleep(WRITE_RETRY_INTERVAL).await;
                 }
             }
         }
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -11,7 +11,7 @@
 
 use super::{
     GatewayConfig, Rules, accounts::Accounts, claim_keeper::ClaimKeeper, conn::ConnPool,
-    endings::Endings, feed::Answers, fleet, fleet::Fleet, metrics::Metrics,
+    endings::CrashChecks, feed::Answers, fleet, fleet::Fleet, metrics::Metrics,
 };
 use crate::{
     clock::Clock,
@@ -66,7 +66,7 @@
     pub(crate) accepted_changes: Fleet,
     pub(crate) accounts: Accounts,
     pub(crate) claims: ClaimKeeper,
-    pub(crate) crash_checks: Endings,
+    pub(crate) crash_checks: CrashChecks,
     pub(crate) explain: ExplainRing,
     pub(crate) rules: Cell<Rules>,
     pub(crate) in_progress: Cell<usize>,
@@ -137,7 +137,7 @@
             accepted_changes: Fleet::default(),
             accounts: Accounts::default(),
             claims: ClaimKeeper::new(Rc::clone(&store)),
-            crash_checks: Endings::default(),
+            crash_checks: CrashChecks::default(),
             explain: ExplainRing::new(cfg.max_explained_decisions),
             conns: Rc::default(),
             metrics: Metrics::default(),
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -12,7 +12,7 @@
     sync::Notify,
 };
 
-use super::{body::AnswerBody, call, conn::prepare, gateway::Gateway};
+use super::{body::AnswerBody, call, conn::set_socket_options, gateway::Gateway};
 use crate::lifecycle::Phase;
 
 /// Pause after a connection could not be accepted, most likely because the process is out of file
@@ -64,7 +64,7 @@
 }
 
 async fn serve_caller(cx: Rc<Gateway>, stream: TcpStream) {
-    prepare(&stream);
+    set_socket_options(&stream);
     let limits = cx.caller_limits();
     let activity = Rc::new(ConnActivity::default());
     activity.idle_since.set(cx.now());
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -55,7 +55,7 @@
         spawn_local(follow::follow_store(Rc::clone(&cx)));
         spawn_local(prompts::announce(Rc::clone(&cx)));
         spawn_local(prompts::save(Rc::clone(&cx)));
-        spawn_local(endings::save(Rc::clone(&cx)));
+        spawn_local(endings::write_quarantined(Rc::clone(&cx)));
         spawn_local(gossip::receive(Rc::clone(&cx), Rc::clone(&udp)));
         spawn_local(gossip::send_updates(Rc::clone(&cx), Rc::clone(&udp)));
         spawn_local(exchange::run_comparisons(Rc::clone(&cx), Rc::clone(&udp)));
@@ -113,7 +113,7 @@
         endings::on_tick(&cx);
         withdrawals::on_tick(&cx);
         for target in removed {
-            cx.conns.forget(&target);
+            cx.conns.close_idle(&target);
             info!(cx.log, "target"; "target" => %target, "verdict" => "gone", "why" => "still missing after the store became available again");
         }
         for (service, slot_time) in cx.dispatcher.borrow().admission.mean_slot_times() {
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -246,7 +246,7 @@
 /// Logs the effect of a change on a target, and closes connections to an instance of it that ended.
 pub(super) fn log_target(cx: &Gateway, id: &TargetId, change: TargetChange, at: StoreRevision) {
     if change.ends_instance() {
-        cx.conns.forget(id);
+        cx.conns.close_idle(id);
     }
     info!(cx.log, "target"; "target" => %id, "verdict" => change.name(), "revision" => at.number);
 }
--- a/src/edge/once.rs
+++ b/src/edge/once.rs
@@ -9,8 +9,8 @@
 use super::{
     attempt::Call,
     body::AnswerBody,
-    call::{Served, respond, serve},
-    ending::{Ending, refuse},
+    call::{CallResult, respond, run_attempts},
+    ending::{CallGuard, refuse},
     gateway::Gateway,
     peer_calls,
 };
@@ -23,58 +23,58 @@
 };
 
 /// Maximum number of tries to record or release a claim in the background while the store does not answer.
-const TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 
 /// Pause after the first try; each further pause is twice as long.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Delay after which a caller should retry if its key is claimed already or the claim was not recorded.
 const COME_BACK: Duration = Duration::from_secs(1);
 
 /// Serves a call with an idempotency key, unless the key was claimed before.
-pub(super) async fn serve_once(
+pub(super) async fn serve_claimed(
     cx: &Rc<Gateway>,
     mut call: Call,
-    ending: Ending,
+    ending: CallGuard,
 ) -> Response<AnswerBody> {
-    let step = match first_step(&call) {
+    let step = match claim_step(&call) {
         Ok(step) => step,
         Err(refusal) => return refuse(cx, &ending, refusal),
     };
-    let verdict = take_step(cx, step).await;
+    let verdict = record_step(cx, step).await;
     if let Some(code) = verdict.refusal() {
         if verdict == ClaimVerdict::NotRecorded {
             // The write may still have taken effect. Nothing was sent, so the claim is released.
-            spawn_step(cx, of_kind(step, ClaimKind::Release, 0));
+            record_in_background(cx, with_kind(step, ClaimKind::Release, 0));
         }
         let refusal = Refusal {
-            why: why(verdict).into(),
+            why: refusal_text(verdict).into(),
             retry_after: Some(COME_BACK),
             ..Refusal::new(code, "")
         };
         return refuse(cx, &ending, refusal);
     }
-    let claimed = Claimed {
+    let claimed = ClaimGuard {
         cx: Rc::clone(cx),
         step,
         settled: Cell::new(false),
     };
-    let served = serve(cx, &mut call).await;
+    let served = run_attempts(cx, &mut call).await;
     match (&served, call.attempts.not_run()) {
-        (Served::Answer(answer), _) => claimed.on_done(answer.0.status.as_u16()),
+        (CallResult::Answer(answer), _) => claimed.on_done(answer.0.status.as_u16()),
         // The caller may retry at once, so the claim is released before the response.
-        (Served::GaveUp(_), Some(proof)) => claimed.release(proof).await,
-        (Served::GaveUp(_), None) => claimed.on_done(0),
+        (CallResult::GaveUp(_), Some(proof)) => claimed.release(proof).await,
+        (CallResult::GaveUp(_), None) => claimed.on_done(0),
     }
     respond(cx, &ending, &call, served)
 }
 
-fn first_step(call: &Call) -> Result<ClaimStep, Refusal> {
+fn claim_step(call: &Call) -> Result<ClaimStep, Refusal> {
     let missing = "this call must not be repeated: send an Idempotency-Key";
     let missing = Refusal::new(ResultCode::MissingIdempotencyKey, missing);
     let idempotency_key = call.facts.idempotency_key.as_deref().ok_or(missing)?;
     let internal = || Refusal::new(ResultCode::Internal, "a call without an account or an id");
-    let holder = call.holder.as_ref().ok_or_else(internal)?;
+    let holder = call.key_owner.as_ref().ok_or_else(internal)?;
     let request: RequestId = call.id().parse().map_err(|_| internal())?;
     Ok(ClaimStep {
         key: ClaimKey::new(&holder.account, call.plan.service.as_str(), idempotency_key),
@@ -84,7 +84,7 @@
     })
 }
 
-fn why(verdict: ClaimVerdict) -> String {
+fn refusal_text(verdict: ClaimVerdict) -> String {
     match verdict {
         ClaimVerdict::Ran(status) => format!("the call ran before, with status {status}"),
         ClaimVerdict::Running => "the call is still running".to_owned(),
@@ -95,30 +95,30 @@
 
 /// A claim of this router's call. If it is dropped before the call's end, for example because the caller
 /// left, the outcome is recorded as unknown.
-struct Claimed {
+struct ClaimGuard {
     cx: Rc<Gateway>,
     step: ClaimStep,
     settled: Cell<bool>,
 }
 
-impl Claimed {
+impl ClaimGuard {
     /// Records that the call ended with this HTTP status, or 0 for an unknown outcome.
     fn on_done(&self, status: u16) {
         self.settled.set(true);
-        spawn_step(&self.cx, of_kind(self.step, ClaimKind::Done, status));
+        record_in_background(&self.cx, with_kind(self.step, ClaimKind::Done, status));
     }
 
     /// Releases the claim, which requires the proof that the call did not run.
     async fn release(&self, _proof: NotRun) {
         self.settled.set(true);
-        let step = of_kind(self.step, ClaimKind::Release, 0);
-        if take_step(&self.cx, step).await == ClaimVerdict::NotRecorded {
-            spawn_step(&self.cx, step);
+        let step = with_kind(self.step, ClaimKind::Release, 0);
+        if record_step(&self.cx, step).await == ClaimVerdict::NotRecorded {
+            record_in_background(&self.cx, step);
         }
     }
 }
 
-impl Drop for Claimed {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if !self.settled.get() {
             self.on_done(0);
@@ -126,7 +126,7 @@
     }
 }
 
-fn of_kind(step: ClaimStep, kind: ClaimKind, outcome: u16) -> ClaimStep {
+fn with_kind(step: ClaimStep, kind: ClaimKind, outcome: u16) -> ClaimStep {
     ClaimStep {
         kind,
         outcome,
@@ -135,14 +135,14 @@
 }
 
 /// Records a step in the background, with repeated tries while the store does not answer.
-fn spawn_step(cx: &Rc<Gateway>, step: ClaimStep) {
+fn record_in_background(cx: &Rc<Gateway>, step: ClaimStep) {
     let cx = Rc::clone(cx);
     tokio::task::spawn_local(async move {
-        for n in 0..TRIES {
-            if take_step(&cx, step).await != ClaimVerdict::NotRecorded {
+        for n in 0..MAX_TRIES {
+            if record_step(&cx, step).await != ClaimVerdict::NotRecorded {
                 return;
             }
-            tokio::time::sleep(FIRST_PAUSE * (1 << n)).await;
+            tokio::time::sleep(FIRST_RETRY_DELAY * (1 << n)).await;
         }
         info!(cx.log, "claim not recorded"; "id" => %step.request, "kind" => ?step.kind);
     });
@@ -150,7 +150,7 @@
 
 /// Has the owner of a claim's shard decide and record a step. If the owner cannot be reached, or is this
 /// router, this router writes the step itself.
-async fn take_step(cx: &Rc<Gateway>, step: ClaimStep) -> ClaimVerdict {
+async fn record_step(cx: &Rc<Gateway>, step: ClaimStep) -> ClaimVerdict {
     let shard = format!("claims/{}", step.key.shard());
     let owner = cx.peers.borrow().owner_of(cx.now(), &shard);
     if let Some(address) = owner {
--- a/src/edge/place.rs
+++ b/src/edge/place.rs
@@ -14,20 +14,20 @@
 
 /// An attempt in progress at a target. It holds the dispatcher's ticket, and releases it when the attempt
 /// ends or when it is dropped, which counts as an abandoned attempt.
-pub(crate) struct Place {
+pub(crate) struct AttemptGuard {
     cx: Rc<Gateway>,
     pub(crate) ticket: Ticket,
     id: String,
     fingerprint: Fingerprint,
     shared_part: Option<PartId>,
-    began: Instant,
+    started_at: Instant,
     /// Withdrawal of the target that the head of the answer announced.
     withdrawal: Option<Withdrawal>,
-    ended: bool,
+    is_ended: bool,
     pub(crate) span: HopSpan,
 }
 
-impl Place {
+impl AttemptGuard {
     /// Creates the record of an attempt at the target of `ticket`.
     pub(crate) fn new(cx: &Rc<Gateway>, call: &Call, now: Instant, ticket: Ticket) -> Self {
         Self {
@@ -36,9 +36,9 @@
             id: call.id().to_owned(),
             fingerprint: call.fingerprint,
             shared_part: call.plan.shared_parts().last().map(|p| p.id),
-            began: now,
+            started_at: now,
             withdrawal: None,
-            ended: false,
+            is_ended: false,
             span: cx.spans.start_hop("target", call.id(), &call.head.headers),
         }
     }
@@ -75,10 +75,15 @@
 
     /// Reports the end to the quarantine: whether the target may have crashed under the request, or
     /// survived it.
-    fn on_request(&self, end: AttemptEnd) {
+    fn report_to_quarantine(&self, end: AttemptEnd) {
         match end {
             end if end.is_break() => {
-                endings::on_broke_off(&self.cx, &self.ticket.target, &self.id, self.fingerprint);
+                endings::on_attempt_broke(
+                    &self.cx,
+                    &self.ticket.target,
+                    &self.id,
+                    self.fingerprint,
+                );
             }
             end if end.is_answer() => endings::on_answered(&self.cx, self.fingerprint),
             _ => {}
@@ -87,7 +92,7 @@
 
     fn finish(&mut self, end: AttemptEnd) {
         let (outcome, why) = (end.outcome(), end.name());
-        self.ended = true;
+        self.is_ended = true;
         let now = self.cx.now();
         let new_status = {
             let mut dispatcher = self.cx.dispatcher.borrow_mut();
@@ -95,7 +100,7 @@
         };
         let (log, target) = (&self.cx.log, &self.ticket.target.id);
         self.cx.metrics.on_attempt(why);
-        self.on_request(end);
+        self.report_to_quarantine(end);
         self.span.set_attribute("outcome", why);
         self.cx.record_decision(&self.id, || match outcome {
             Some(Outcome::Good) => Decision::Answered {
@@ -107,13 +112,13 @@
             },
         });
         info!(log, "attempt"; "id" => &self.id, "fingerprint" => %self.fingerprint, "target" => %target, "outcome" => why,
-            "took_ms" => now.since(self.began).as_millis() as u64,
+            "took_ms" => now.since(self.started_at).as_millis() as u64,
             "calls_there" => self.ticket.calls,
             "weighed" => self.ticket.scored_targets, "counted_ms_ago" => self.ticket.counted_ago.as_millis() as u64, "tokens_missing" => self.ticket.missing.0,
             "shared_part" => self.shared_part.map(|p| p.0), "held" => self.ticket.has_read,
             "fetched_from" => self.ticket.fetch_from.as_ref().map(|t| t.id.to_string()),
             "withdrawal" => self.withdrawal.map(Withdrawal::name), "backoff_ms" => self.withdrawal.and_then(Withdrawal::backoff).map(|b| b.as_millis() as u64),
-            "began_ms" => self.began.0.as_millis() as u64,
+            "began_ms" => self.started_at.0.as_millis() as u64,
             "standing" => ?self.ticket.health_status, "warmth" => ?self.ticket.warmth);
         if let Some(new_status) = new_status {
             info!(log, "standing"; "target" => %target, "standing" => ?new_status, "id" => &self.id, "why" => why);
@@ -121,9 +126,9 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_ended {
             self.finish(AttemptEnd::Abandoned);
         }
     }
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -7,13 +7,13 @@
 use hyper::{Response, StatusCode, body::Incoming, http::response};
 
 use super::{
-    attempt::{Begun, Call, Failed, attempt},
+    attempt::{AttemptFailure, Call, StartedAnswer, attempt},
     attempt_end::AttemptEnd,
-    body::{AnswerBody, BrokeOff, EventSender},
-    call::{keep, may_repeat, patience, strip_connection_headers},
-    ending::{End, Ending, finish, give_up, pass_on},
+    body::{AnswerBody, EventSender, StreamAborted},
+    call::{attempt_timeout, return_to_pool, strip_connection_headers, take_retry},
+    ending::{CallEnd, CallGuard, finish_response, give_up, pass_on},
     gateway::Gateway,
-    place::Place,
+    place::AttemptGuard,
 };
 use crate::{
     ResultCode,
@@ -24,21 +24,21 @@
 
 /// Multiple of the route's latency goal that a resumable stream waits for its first event before the
 /// call is sent to another target. Waiting a little costs less than reading the prompt again there.
-const FIRST_PATIENCE: f64 = 1.2;
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 1.2;
 
 /// Multiple of the route's goal for the pause between events that a target may be silent before the
 /// stream is resumed at another target.
-const GAP_PATIENCE: f64 = 2.0;
+const GAP_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Minimum time that a target may be silent, before the first event and between events.
 const LEAST_PATIENCE: Duration = Duration::from_millis(600);
 
 /// Reads one target's stream, as complete events in order.
-struct Source {
+struct EventSource {
     body: Incoming,
     splitter: EventSplitter,
     conn: super::conn::Conn,
-    place: Place,
+    place: AttemptGuard,
     facts: crate::dialect::ResponseInfo,
 }
 
@@ -51,7 +51,7 @@
     Broken(AttemptEnd),
 }
 
-impl Source {
+impl EventSource {
     async fn next(&mut self, cx: &Gateway, until: Instant) -> Next {
         loop {
             match self.splitter.next_event() {
@@ -62,13 +62,13 @@
             let frame = self.body.frame();
             match cx.clock.timeout_at(until, frame).await {
                 None => return Next::Broken(AttemptEnd::Silent),
-                Some(Some(Err(_))) => return Next::Broken(AttemptEnd::AnswerBrokeOff),
+                Some(Some(Err(_))) => return Next::Broken(AttemptEnd::AnswerTruncated),
                 Some(Some(Ok(frame))) => {
                     let data = frame.data_ref().map_or(&[][..], |d| d.as_ref());
                     self.splitter.push(data);
                 }
                 Some(None) if self.splitter.has_incomplete_event() => {
-                    return Next::Broken(AttemptEnd::EventCutOff);
+                    return Next::Broken(AttemptEnd::EventTruncated);
                 }
                 Some(None) => return Next::End,
             }
@@ -80,40 +80,40 @@
 pub(super) async fn serve(
     cx: &Rc<Gateway>,
     mut call: Call,
-    ending: Ending,
+    ending: CallGuard,
 ) -> Response<AnswerBody> {
     let mut previous = None;
     loop {
         let failed = match begin(cx, &mut call).await {
-            Ok(Beginning::Stream(head, source, first)) => {
+            Ok(AnswerStart::Stream(head, source, first)) => {
                 return relay(cx, call, ending, head, source, first);
             }
-            Ok(Beginning::Whole(head, bytes)) => {
+            Ok(AnswerStart::Whole(head, bytes)) => {
                 return pass_on(cx, &ending, &call, (head, bytes));
             }
             Err(failed) => failed,
         };
-        if !may_repeat(cx, &call, failed) {
-            return give_up(cx, &ending, &call, failed.after(previous));
+        if !take_retry(cx, &call, failed) {
+            return give_up(cx, &ending, &call, failed.or_previous(previous));
         }
         previous = Some(failed);
     }
 }
 
 /// Start of a target's answer.
-enum Beginning {
+enum AnswerStart {
     /// The first event has arrived, and more follow.
-    Stream(response::Parts, Box<Source>, Event),
+    Stream(response::Parts, Box<EventSource>, Event),
     /// The answer is complete: an error response of the target, or a stream without events.
     Whole(response::Parts, bytes::Bytes),
 }
 
 /// Makes one attempt and waits for its first event.
-async fn begin(cx: &Rc<Gateway>, call: &mut Call) -> Result<Beginning, Failed> {
-    let timeout = patience(cx, call, FIRST_PATIENCE, LEAST_PATIENCE);
-    let until = (cx.now() + timeout).min(call.hold_until);
+async fn begin(cx: &Rc<Gateway>, call: &mut Call) -> Result<AnswerStart, AttemptFailure> {
+    let timeout = attempt_timeout(cx, call, FIRST_EVENT_TIMEOUT_FACTOR, LEAST_PATIENCE);
+    let until = (cx.now() + timeout).min(call.deadline);
     let begun = attempt(cx, call, timeout).await?;
-    let Begun {
+    let StartedAnswer {
         mut head,
         body,
         facts,
@@ -122,36 +122,36 @@
     } = begun;
     strip_connection_headers(&mut head.headers);
     if !head.status.is_success() {
-        return whole_failure(cx, call, head, body, place).await;
+        return read_failure(cx, call, head, body, place).await;
     }
     head.headers.remove(hyper::header::CONTENT_LENGTH);
-    let mut source = Box::new(Source {
+    let mut source = Box::new(EventSource {
         body,
         splitter: EventSplitter::default(),
         conn,
         place,
         facts,
     });
-    match next_new(cx, &mut source, call.last_event, until).await {
+    match next_unsent(cx, &mut source, call.last_event, until).await {
         Next::Event(event) => {
             source.place.on_first_event();
             cx.metrics.on_first_event(cx.now().since(call.received));
-            Ok(Beginning::Stream(head, source, event))
+            Ok(AnswerStart::Stream(head, source, event))
         }
         Next::End => {
-            let Source {
+            let EventSource {
                 conn, place, facts, ..
             } = *source;
             place.end(AttemptEnd::Answered);
-            keep(cx, conn, &facts).await;
+            return_to_pool(cx, conn, &facts).await;
             call.attempts.on_attempt_end(Execution::Ran);
-            Ok(Beginning::Whole(head, bytes::Bytes::new()))
+            Ok(AnswerStart::Whole(head, bytes::Bytes::new()))
         }
         Next::Broken(end) => {
             source.place.end(end);
             call.attempts.on_attempt_end(Execution::MayHaveRun);
-            Err(Failed {
-                fate: Execution::MayHaveRun,
+            Err(AttemptFailure {
+                execution: Execution::MayHaveRun,
                 end,
                 nowhere: false,
             })
@@ -161,15 +161,15 @@
 
 /// Reads the body of a response that is not a success. A server error fails the attempt if the call may
 /// be sent to another target.
-async fn whole_failure(
+async fn read_failure(
     cx: &Gateway,
     call: &mut Call,
     head: response::Parts,
     body: Incoming,
-    place: Place,
-) -> Result<Beginning, Failed> {
+    place: AttemptGuard,
+) -> Result<AnswerStart, AttemptFailure> {
     call.attempts.on_attempt_end(Execution::Ran);
-    let read = cx.clock.timeout_at(call.hold_until, body.collect()).await;
+    let read = cx.clock.timeout_at(call.deadline, body.collect()).await;
     let is_error = head.status.is_server_error();
     place.end(match is_error {
         true => AttemptEnd::TargetError,
@@ -180,27 +180,32 @@
             .attempts
             .may_retry(call.route.kind, call.route.max_attempts);
     match read {
-        Some(Ok(bytes)) if !may_retry => Ok(Beginning::Whole(head, bytes.to_bytes())),
-        _ => Err(Failed {
-            fate: Execution::Ran,
+        Some(Ok(bytes)) if !may_retry => Ok(AnswerStart::Whole(head, bytes.to_bytes())),
+        _ => Err(AttemptFailure {
+            execution: Execution::Ran,
             end: AttemptEnd::TargetError,
             nowhere: false,
         }),
     }
 }
 
-fn gap_patience(call: &Call) -> Duration {
+fn gap_timeout(call: &Call) -> Duration {
     let may_follow = call.attempts.sent() < call.route.max_attempts;
     match call.route.gap_goal {
         Some(gap) if call.route.kind.is_resumable() && may_follow => {
-            gap.mul_f64(GAP_PATIENCE).max(LEAST_PATIENCE)
+            gap.mul_f64(GAP_TIMEOUT_FACTOR).max(LEAST_PATIENCE)
         }
         _ => call.route.max_silence,
     }
 }
 
 /// Returns the next event that the caller does not have yet.
-async fn next_new(cx: &Gateway, source: &mut Source, last: Option<u64>, until: Instant) -> Next {
+async fn next_unsent(
+    cx: &Gateway,
+    source: &mut EventSource,
+    last: Option<u64>,
+    until: Instant,
+) -> Next {
     loop {
         match source.next(cx, until).await {
             Next::Event(event) if event.id.is_some() && event.id <= last => {}
@@ -213,30 +218,30 @@
 fn relay(
     cx: &Rc<Gateway>,
     call: Call,
-    ending: Ending,
+    ending: CallGuard,
     head: response::Parts,
-    source: Box<Source>,
+    source: Box<EventSource>,
     first: Event,
 ) -> Response<AnswerBody> {
     let (tx, body) = AnswerBody::events();
-    let res = finish(cx, &ending, Response::from_parts(head, body));
+    let res = finish_response(cx, &ending, Response::from_parts(head, body));
     let cx_task = Rc::clone(cx);
     tokio::task::spawn_local(async move {
         let events_tx = tx.clone();
         tokio::select! {
             biased;
             () = events_tx.closed() => {}
-            () = pass_events(&cx_task, call, &ending, *source, first, tx) => {}
+            () = forward_events(&cx_task, call, &ending, *source, first, tx) => {}
         }
     });
     res
 }
 
-async fn pass_events(
+async fn forward_events(
     cx: &Rc<Gateway>,
     mut call: Call,
-    ending: &Ending,
-    mut source: Source,
+    ending: &CallGuard,
+    mut source: EventSource,
     first: Event,
     tx: EventSender,
 ) {
@@ -247,35 +252,35 @@
         if tx.send(Ok(event.bytes)).await.is_err() {
             return;
         }
-        let until = (cx.now() + gap_patience(&call)).min(call.hold_until);
-        event = match next_new(cx, &mut source, call.last_event, until).await {
+        let until = (cx.now() + gap_timeout(&call)).min(call.deadline);
+        event = match next_unsent(cx, &mut source, call.last_event, until).await {
             Next::Event(event) => {
                 source.place.on_event();
                 event
             }
             Next::End => {
-                let Source {
+                let EventSource {
                     conn, place, facts, ..
                 } = source;
                 place.end(AttemptEnd::Answered);
-                ending.tell(End::answered(StatusCode::OK), call.attempts);
+                ending.record_end(CallEnd::answered(StatusCode::OK), call.attempts);
                 drop(tx);
-                keep(cx, conn, &facts).await;
+                return_to_pool(cx, conn, &facts).await;
                 return;
             }
-            Next::Broken(end) => match go_on(cx, &mut call, source, end).await {
+            Next::Broken(end) => match resume(cx, &mut call, source, end).await {
                 Ok((next, event)) => {
                     source = next;
                     event
                 }
                 Err(failed) => {
-                    let end = End {
+                    let end = CallEnd {
                         status: 200,
-                        ..End::coded(ResultCode::Incomplete, failed.end.name())
+                        ..CallEnd::failed(ResultCode::Incomplete, failed.end.name())
                     };
-                    ending.tell(end, call.attempts);
+                    ending.record_end(end, call.attempts);
                     // If the caller has left as well, sending fails, and nothing more has to be done.
-                    let _ = tx.send(Err(BrokeOff)).await;
+                    let _ = tx.send(Err(StreamAborted)).await;
                     return;
                 }
             },
@@ -284,29 +289,29 @@
 }
 
 /// Resumes the stream at another target after the last event that the caller has.
-async fn go_on(
+async fn resume(
     cx: &Rc<Gateway>,
     call: &mut Call,
-    broken: Source,
+    broken: EventSource,
     end: AttemptEnd,
-) -> Result<(Source, Event), Failed> {
+) -> Result<(EventSource, Event), AttemptFailure> {
     broken.place.end(end);
     // The connection is closed before the next attempt, so that the first target stops its run.
     drop(broken.conn);
     call.attempts.on_attempt_end(Execution::MayHaveRun);
-    let mut failed = Failed {
-        fate: Execution::MayHaveRun,
+    let mut failed = AttemptFailure {
+        execution: Execution::MayHaveRun,
         end,
         nowhere: false,
     };
-    while may_repeat(cx, call, failed) {
+    while take_retry(cx, call, failed) {
         failed = match begin(cx, call).await {
-            Ok(Beginning::Stream(_, source, event)) if follows(call.last_event, &event) => {
+            Ok(AnswerStart::Stream(_, source, event)) if may_follow(call.last_event, &event) => {
                 return Ok((*source, event));
             }
-            Ok(_) => Failed {
-                fate: Execution::Ran,
-                end: AttemptEnd::DoesNotFollow,
+            Ok(_) => AttemptFailure {
+                execution: Execution::Ran,
+                end: AttemptEnd::NotContinued,
                 nowhere: true,
             },
             Err(failed) => failed,
@@ -316,7 +321,7 @@
 }
 
 /// Returns whether an event of another run may directly follow the last one.
-fn follows(last: Option<u64>, event: &Event) -> bool {
+fn may_follow(last: Option<u64>, event: &Event) -> bool {
     match (last, event.id) {
         (Some(last), Some(id)) => id > last,
         _ => false,
--- a/src/edge/withdrawals.rs
+++ b/src/edge/withdrawals.rs
@@ -29,7 +29,7 @@
         return;
     }
     if withdrawal == Withdrawal::Leaving {
-        cx.conns.forget(target);
+        cx.conns.close_idle(target);
     }
     let backoff = withdrawal.backoff().map(|b| b.as_millis() as u64);
     info!(cx.log, "withdrawal"; "id" => call.id(), "target" => %target,
