--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -10,8 +10,8 @@
 use super::{
     accounts::{self, AccountPlace},
     attempt::Call,
-    ending::{CallGuard, QUARANTINE_TEXT},
-    endings,
+    call_end::{CallGuard, QUARANTINE_TEXT},
+    crash_checks,
     gateway::Gateway,
 };
 use crate::{
@@ -119,7 +119,7 @@
     let account = holder.as_ref().map(|h| &h.account);
     let fingerprint = fingerprint(&head, &body, &facts, account);
     ending.fingerprint = Some(fingerprint);
-    if let Some(time_left) = endings::quarantine_time_left(cx, fingerprint) {
+    if let Some(time_left) = crash_checks::quarantine_time_left(cx, fingerprint) {
         return Err(Refusal {
             retry_after: Some(time_left),
             ..Refusal::new(ResultCode::HeldBack, QUARANTINE_TEXT)
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -14,10 +14,10 @@
 
 use super::{
     attempt_end::AttemptEnd,
+    attempt_guard::AttemptGuard,
     conn::{Conn, ConnectError},
-    endings,
+    crash_checks,
     gateway::Gateway,
-    place::AttemptGuard,
     withdrawals,
 };
 use crate::{
@@ -97,7 +97,7 @@
     pub(crate) end: AttemptEnd,
     /// Whether no further attempt can follow: the attempt was not sent as no target or no time was
     /// left or the request is quarantined, or another target's stream does not continue the first.
-    pub(crate) nowhere: bool,
+    pub(crate) is_final: bool,
 }
 
 impl AttemptFailure {
@@ -105,7 +105,7 @@
     /// attempt ended with no further attempt possible, and this one otherwise.
     pub(crate) fn or_previous(self, previous: Option<Self>) -> Self {
         match previous {
-            Some(previous) if self.nowhere => previous,
+            Some(previous) if self.is_final => previous,
             _ => self,
         }
     }
@@ -114,7 +114,7 @@
         Self {
             execution: Execution::NotRun,
             end,
-            nowhere: true,
+            is_final: true,
         }
     }
 
@@ -122,7 +122,7 @@
         Self {
             execution: Execution::NotRun,
             end,
-            nowhere: false,
+            is_final: false,
         }
     }
 
@@ -130,7 +130,7 @@
         Self {
             execution: Execution::MayHaveRun,
             end,
-            nowhere: false,
+            is_final: false,
         }
     }
 }
@@ -161,7 +161,7 @@
         }
         // Checked again before each choice: if a caller sends a request again at once and many times,
         // some of these calls are already waiting here when the request is quarantined.
-        if endings::quarantine_time_left(cx, call.fingerprint).is_some() {
+        if crash_checks::quarantine_time_left(cx, call.fingerprint).is_some() {
             return Err(AttemptFailure::not_sent(AttemptEnd::Quarantined));
         }
         let chosen = cx.dispatcher.borrow_mut().choose(now, &call.plan);
@@ -224,7 +224,7 @@
         Some(Err(mut e)) => {
             // The client hands a request back only if it was never written to the connection.
             let unsent = e.take_message().is_some();
-            if let Some(rested) = conn.rested() {
+            if let Some(rested) = conn.idle_time() {
                 cx.conns.on_idle_conn_broke(cx.now(), rested);
             }
             on_connection_broke(cx, call, place.target(), now);
--- a/src/edge/place.rs
+++ b/src/edge/attempt_guard.rs
@@ -5,7 +5,7 @@
 
 use slog::info;
 
-use super::{attempt::Call, attempt_end::AttemptEnd, endings, gateway::Gateway};
+use super::{attempt::Call, attempt_end::AttemptEnd, crash_checks, gateway::Gateway};
 use crate::{
     dialect::ResponseInfo, dispatcher::Ticket, explain::Decision, fingerprint::Fingerprint,
     health::Outcome, ids::TargetId, prompt_cache::PartId, spans::HopSpan, units::Instant,
@@ -78,14 +78,14 @@
     fn report_to_quarantine(&self, end: AttemptEnd) {
         match end {
             end if end.is_break() => {
-                endings::on_attempt_broke(
+                crash_checks::on_attempt_broke(
                     &self.cx,
                     &self.ticket.target,
                     &self.id,
                     self.fingerprint,
                 );
             }
-            end if end.is_answer() => endings::on_answered(&self.cx, self.fingerprint),
+            end if end.is_answer() => crash_checks::on_answered(&self.cx, self.fingerprint),
             _ => {}
         }
     }
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -18,9 +18,10 @@
     attempt::{AttemptFailure, Call, StartedAnswer, attempt},
     attempt_end::AttemptEnd,
     body::AnswerBody,
-    ending::{CallGuard, give_up, pass_on, refuse},
+    call_end::{CallGuard, give_up, pass_on, refuse},
+    claimed_calls,
     gateway::Gateway,
-    once, stream, view,
+    stream, view,
 };
 use crate::{
     ResultCode,
@@ -63,7 +64,7 @@
     let mut ending = CallGuard::new(cx, id.as_deref());
     let body = match read_body(cx, &head.headers, body_stream).await {
         Ok(body) => body,
-        Err(BodyError::Cut) => return Err(RequestAborted),
+        Err(BodyError::Aborted) => return Err(RequestAborted),
         Err(BodyError::TimedOut) => {
             let refusal = Refusal::new(ResultCode::SlowSender, "the body did not arrive in time");
             return Ok(refuse(cx, &ending, refusal));
@@ -83,7 +84,7 @@
     ending.route.clone_from(&call.route.name);
     ending.set_account_place(place);
     Ok(match () {
-        () if call.route.claimed => once::serve_claimed(cx, call, ending).await,
+        () if call.route.claimed => claimed_calls::serve_claimed(cx, call, ending).await,
         () if call.route.kind.is_stream() => stream::serve(cx, call, ending).await,
         () => serve_plain(cx, call, ending).await,
     })
@@ -142,7 +143,7 @@
 /// Reason why the body of a request could not be read.
 enum BodyError {
     /// The caller closed the connection before the body was complete.
-    Cut,
+    Aborted,
     /// The body did not arrive within the time limit.
     TimedOut,
 }
@@ -164,7 +165,7 @@
     match cx.clock.timeout_at(until, reading).await {
         Some(Ok(body)) => Ok(Some(body.to_bytes())),
         Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Ok(None),
-        Some(Err(_)) => Err(BodyError::Cut),
+        Some(Err(_)) => Err(BodyError::Aborted),
         None => Err(BodyError::TimedOut),
     }
 }
@@ -209,7 +210,7 @@
                     AttemptFailure {
                         execution: Execution::Ran,
                         end: AttemptEnd::TargetError,
-                        nowhere: false,
+                        is_final: false,
                     }
                 }
                 Ok(answer) => return CallResult::Answer(answer),
@@ -230,7 +231,7 @@
 /// Returns whether another attempt may be made, and takes it from the retry budget.
 pub(crate) fn take_retry(cx: &Gateway, call: &Call, failed: AttemptFailure) -> bool {
     let now = cx.now();
-    if failed.nowhere || now >= call.deadline {
+    if failed.is_final || now >= call.deadline {
         return false;
     }
     if !call
@@ -297,7 +298,7 @@
         return Err(AttemptFailure {
             execution: Execution::Ran,
             end,
-            nowhere: false,
+            is_final: false,
         });
     };
     return_to_pool(cx, conn, &facts).await;
--- a/src/edge/ending.rs
+++ b/src/edge/call_end.rs
@@ -14,7 +14,7 @@
     attempt_end::AttemptEnd,
     body::AnswerBody,
     call::CompleteAnswer,
-    endings,
+    crash_checks,
     gateway::Gateway,
 };
 use crate::{
@@ -227,7 +227,7 @@
     );
     let is_shortage = no_capacity || none_left;
     let come_back = match failed.end {
-        AttemptEnd::Quarantined => endings::quarantine_time_left(cx, call.fingerprint),
+        AttemptEnd::Quarantined => crash_checks::quarantine_time_left(cx, call.fingerprint),
         _ => is_shortage.then(|| retry_after(cx, call)),
     };
     respond_error(cx, ending, code, text, come_back)
--- a/src/edge/once.rs
+++ b/src/edge/claimed_calls.rs
@@ -10,7 +10,7 @@
     attempt::Call,
     body::AnswerBody,
     call::{CallResult, respond, run_attempts},
-    ending::{CallGuard, refuse},
+    call_end::{CallGuard, refuse},
     gateway::Gateway,
     peer_calls,
 };
@@ -29,7 +29,7 @@
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Delay after which a caller should retry if its key is claimed already or the claim was not recorded.
-const COME_BACK: Duration = Duration::from_secs(1);
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Serves a call with an idempotency key, unless the key was claimed before.
 pub(super) async fn serve_claimed(
@@ -49,7 +49,7 @@
         }
         let refusal = Refusal {
             why: refusal_text(verdict).into(),
-            retry_after: Some(COME_BACK),
+            retry_after: Some(CLAIM_RETRY_AFTER),
             ..Refusal::new(code, "")
         };
         return refuse(cx, &ending, refusal);
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -60,7 +60,7 @@
 
 impl Conn {
     /// Returns how long the connection was idle before this call; `None` if it was opened for the call.
-    pub(crate) fn rested(&self) -> Option<Duration> {
+    pub(crate) fn idle_time(&self) -> Option<Duration> {
         self.rested
     }
 }
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -11,7 +11,7 @@
 
 use super::{
     GatewayConfig, Rules, accounts::Accounts, claim_keeper::ClaimKeeper, conn::ConnPool,
-    endings::CrashChecks, feed::Answers, fleet, fleet::Fleet, metrics::Metrics,
+    crash_checks::CrashChecks, feed::Answers, fleet, fleet::Fleet, metrics::Metrics,
 };
 use crate::{
     clock::Clock,
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 
 use super::{
-    accounts, endings, exchange,
+    accounts, crash_checks, exchange,
     gateway::Gateway,
     sums::{Rates, RatesDue, Sums},
 };
@@ -315,7 +315,7 @@
     if let Some(confirmation) = cx.peers.borrow().config_confirmation(&received) {
         cx.freshness.borrow_mut().on_peer_confirmation(confirmation);
     }
-    endings::on_notices(cx, now, &received.crashes, &received.quarantined);
+    crash_checks::on_notices(cx, now, &received.crashes, &received.quarantined);
     let mut dispatcher = cx.dispatcher.borrow_mut();
     if let Some(ago) = received.store_regained_ms {
         let ago = Duration::from_millis(u64::from(ago));
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    StopReport, endings, exchange, follow,
+    StopReport, crash_checks, exchange, follow,
     gateway::{Gateway, GatewayParts},
     gossip, ingress, news, operators, peer_calls, prompts, stop,
     stop::Signals,
@@ -55,7 +55,7 @@
         spawn_local(follow::follow_store(Rc::clone(&cx)));
         spawn_local(prompts::announce(Rc::clone(&cx)));
         spawn_local(prompts::save(Rc::clone(&cx)));
-        spawn_local(endings::write_quarantined(Rc::clone(&cx)));
+        spawn_local(crash_checks::write_quarantined(Rc::clone(&cx)));
         spawn_local(gossip::receive(Rc::clone(&cx), Rc::clone(&udp)));
         spawn_local(gossip::send_updates(Rc::clone(&cx), Rc::clone(&udp)));
         spawn_local(exchange::run_comparisons(Rc::clone(&cx), Rc::clone(&udp)));
@@ -110,7 +110,7 @@
         let now = cx.now();
         let removed = cx.dispatcher.borrow_mut().on_tick(now);
         news::settle(&cx);
-        endings::on_tick(&cx);
+        crash_checks::on_tick(&cx);
         withdrawals::on_tick(&cx);
         for target in removed {
             cx.conns.close_idle(&target);
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -5,7 +5,7 @@
 
 use slog::{info, warn};
 
-use super::{endings, fleet, gateway::Gateway, prompts};
+use super::{crash_checks, fleet, gateway::Gateway, prompts};
 use crate::{
     config::serving::ServingConfig,
     discovery::{Changes, ListChange, RETURN_GRACE, TargetChange},
@@ -140,14 +140,14 @@
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
                     quarantine.on_stored(now, request)
                 };
-                endings::log_change(cx, request, change, "entered in the store");
+                crash_checks::log_change(cx, request, change, "entered in the store");
             }
             Ok(OwnEntry::QuarantineEnded(request)) => {
                 let change = {
                     let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
                     quarantine.on_removed(request)
                 };
-                endings::log_change(cx, request, change, "its store entry was removed");
+                crash_checks::log_change(cx, request, change, "its store entry was removed");
             }
             Ok(_) => {}
             Err(why) => not_understood(cx, item, &why),
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -9,11 +9,11 @@
 use super::{
     attempt::{AttemptFailure, Call, StartedAnswer, attempt},
     attempt_end::AttemptEnd,
+    attempt_guard::AttemptGuard,
     body::{AnswerBody, EventSender, StreamAborted},
     call::{attempt_timeout, return_to_pool, strip_connection_headers, take_retry},
-    ending::{CallEnd, CallGuard, finish_response, give_up, pass_on},
+    call_end::{CallEnd, CallGuard, finish_response, give_up, pass_on},
     gateway::Gateway,
-    place::AttemptGuard,
 };
 use crate::{
     ResultCode,
@@ -31,7 +31,7 @@
 const GAP_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Minimum time that a target may be silent, before the first event and between events.
-const LEAST_PATIENCE: Duration = Duration::from_millis(600);
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Reads one target's stream, as complete events in order.
 struct EventSource {
@@ -110,7 +110,7 @@
 
 /// Makes one attempt and waits for its first event.
 async fn begin(cx: &Rc<Gateway>, call: &mut Call) -> Result<AnswerStart, AttemptFailure> {
-    let timeout = attempt_timeout(cx, call, FIRST_EVENT_TIMEOUT_FACTOR, LEAST_PATIENCE);
+    let timeout = attempt_timeout(cx, call, FIRST_EVENT_TIMEOUT_FACTOR, MIN_EVENT_TIMEOUT);
     let until = (cx.now() + timeout).min(call.deadline);
     let begun = attempt(cx, call, timeout).await?;
     let StartedAnswer {
@@ -153,7 +153,7 @@
             Err(AttemptFailure {
                 execution: Execution::MayHaveRun,
                 end,
-                nowhere: false,
+                is_final: false,
             })
         }
     }
@@ -184,7 +184,7 @@
         _ => Err(AttemptFailure {
             execution: Execution::Ran,
             end: AttemptEnd::TargetError,
-            nowhere: false,
+            is_final: false,
         }),
     }
 }
@@ -193,7 +193,7 @@
     let may_follow = call.attempts.sent() < call.route.max_attempts;
     match call.route.gap_goal {
         Some(gap) if call.route.kind.is_resumable() && may_follow => {
-            gap.mul_f64(GAP_TIMEOUT_FACTOR).max(LEAST_PATIENCE)
+            gap.mul_f64(GAP_TIMEOUT_FACTOR).max(MIN_EVENT_TIMEOUT)
         }
         _ => call.route.max_silence,
     }
@@ -302,7 +302,7 @@
     let mut failed = AttemptFailure {
         execution: Execution::MayHaveRun,
         end,
-        nowhere: false,
+        is_final: false,
     };
     while take_retry(cx, call, failed) {
         failed = match begin(cx, call).await {
@@ -312,7 +312,7 @@
             Ok(_) => AttemptFailure {
                 execution: Execution::Ran,
                 end: AttemptEnd::NotContinued,
-                nowhere: true,
+                is_final: true,
             },
             Err(failed) => failed,
         };
