--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -85,7 +85,7 @@
     pub(crate) body: Incoming,
     pub(crate) facts: ResponseInfo,
     pub(crate) conn: Conn,
-    pub(crate) place: AttemptGuard,
+    pub(crate) guard: AttemptGuard,
 }
 
 /// A failed attempt.
@@ -257,7 +257,7 @@
         body,
         facts,
         conn,
-        place,
+        guard: place,
     };
     check_head(cx, call, begun)
 }
@@ -293,22 +293,22 @@
     let is_other_call = facts.id.is_some() && facts.id != call.id;
     match () {
         () if is_other_call => {
-            begun.place.end(AttemptEnd::AnswerToAnotherCall);
+            begun.guard.end(AttemptEnd::AnswerToAnotherCall);
             Err(AttemptFailure::may_have_run(
                 AttemptEnd::AnswerToAnotherCall,
             ))
         }
         () if facts.rejected_by == Some(RejectedBy::OtherTarget) => {
-            on_connection_refused(cx, call, begun.place.target());
-            begun.place.end(AttemptEnd::AnotherTarget);
+            on_connection_refused(cx, call, begun.guard.target());
+            begun.guard.end(AttemptEnd::AnotherTarget);
             Err(AttemptFailure::not_run(AttemptEnd::AnotherTarget))
         }
         () if facts.rejected_by.is_some() => {
-            begun.place.end(AttemptEnd::Refused);
+            begun.guard.end(AttemptEnd::Refused);
             Err(AttemptFailure::not_run(AttemptEnd::Refused))
         }
         () if !facts.is_authentic(status) => {
-            begun.place.end(AttemptEnd::UnverifiedAnswer);
+            begun.guard.end(AttemptEnd::UnverifiedAnswer);
             Err(AttemptFailure::may_have_run(AttemptEnd::UnverifiedAnswer))
         }
         () => Ok(begun),
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -282,7 +282,7 @@
         body,
         facts,
         conn,
-        place,
+        guard,
     } = begun;
     let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let read = cx.clock.timeout_at(call.deadline, reading).await;
@@ -292,7 +292,7 @@
         Some(Err(_)) => AttemptEnd::AnswerTruncated,
         None => AttemptEnd::DeadlineExceeded,
     };
-    place.end(end);
+    guard.end(end);
     call.attempts.on_attempt_end(Execution::Ran);
     let Some(Ok(collected)) = read else {
         return Err(AttemptFailure {
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -48,7 +48,7 @@
     task: AbortHandle,
     target: TargetId,
     pool: Rc<ConnPool>,
-    rested: Option<Duration>,
+    idle_time: Option<Duration>,
 }
 
 impl Drop for Conn {
@@ -61,7 +61,7 @@
 impl Conn {
     /// Returns how long the connection was idle before this call; `None` if it was opened for the call.
     pub(crate) fn idle_time(&self) -> Option<Duration> {
-        self.rested
+        self.idle_time
     }
 }
 
@@ -119,7 +119,7 @@
                 }
                 () if latest.conn.sender.is_ready() && now < latest.until => {
                     let mut conn = latest.conn;
-                    conn.rested = Some(idle_time);
+                    conn.idle_time = Some(idle_time);
                     return Some(conn);
                 }
                 () => {}
@@ -174,7 +174,7 @@
             task,
             target: target.clone(),
             pool: Rc::clone(self),
-            rested: None,
+            idle_time: None,
         })
     }
 
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -38,7 +38,7 @@
     body: Incoming,
     splitter: EventSplitter,
     conn: super::conn::Conn,
-    place: AttemptGuard,
+    guard: AttemptGuard,
     facts: crate::dialect::ResponseInfo,
 }
 
@@ -118,37 +118,37 @@
         body,
         facts,
         conn,
-        place,
+        guard,
     } = begun;
     strip_connection_headers(&mut head.headers);
     if !head.status.is_success() {
-        return read_failure(cx, call, head, body, place).await;
+        return read_failure(cx, call, head, body, guard).await;
     }
     head.headers.remove(hyper::header::CONTENT_LENGTH);
     let mut source = Box::new(EventSource {
         body,
         splitter: EventSplitter::default(),
         conn,
-        place,
+        guard: guard,
         facts,
     });
     match next_unsent(cx, &mut source, call.last_event, until).await {
         Next::Event(event) => {
-            source.place.on_first_event();
+            source.guard.on_first_event();
             cx.metrics.on_first_event(cx.now().since(call.received));
             Ok(AnswerStart::Stream(head, source, event))
         }
         Next::End => {
             let EventSource {
-                conn, place, facts, ..
+                conn, guard, facts, ..
             } = *source;
-            place.end(AttemptEnd::Answered);
+            guard.end(AttemptEnd::Answered);
             return_to_pool(cx, conn, &facts).await;
             call.attempts.on_attempt_end(Execution::Ran);
             Ok(AnswerStart::Whole(head, bytes::Bytes::new()))
         }
         Next::Broken(end) => {
-            source.place.end(end);
+            source.guard.end(end);
             call.attempts.on_attempt_end(Execution::MayHaveRun);
             Err(AttemptFailure {
                 execution: Execution::MayHaveRun,
@@ -255,14 +255,14 @@
         let until = (cx.now() + gap_timeout(&call)).min(call.deadline);
         event = match next_unsent(cx, &mut source, call.last_event, until).await {
             Next::Event(event) => {
-                source.place.on_event();
+                source.guard.on_event();
                 event
             }
             Next::End => {
                 let EventSource {
-                    conn, place, facts, ..
+                    conn, guard, facts, ..
                 } = source;
-                place.end(AttemptEnd::Answered);
+                guard.end(AttemptEnd::Answered);
                 ending.record_end(CallEnd::answered(StatusCode::OK), call.attempts);
                 drop(tx);
                 return_to_pool(cx, conn, &facts).await;
@@ -295,7 +295,7 @@
     broken: EventSource,
     end: AttemptEnd,
 ) -> Result<(EventSource, Event), AttemptFailure> {
-    broken.place.end(end);
+    broken.guard.end(end);
     // The connection is closed before the next attempt, so that the first target stops its run.
     drop(broken.conn);
     call.attempts.on_attempt_end(Execution::MayHaveRun);
