--- a/src/edge/call_end.rs
+++ b/src/edge/call_end.rs
@@ -60,7 +60,7 @@
     pub(crate) fingerprint: Option<Fingerprint>,
     received: Instant,
     is_logged: Cell<bool>,
-    place: Option<AccountPlace>,
+    account_place: Option<AccountPlace>,
     _guard: InProgressGuard,
 }
 
@@ -112,14 +112,14 @@
             fingerprint: None,
             received: cx.now(),
             is_logged: Cell::new(false),
-            place: None,
+            account_place: None,
             _guard: InProgressGuard::new(cx),
         }
     }
 
     /// Keeps the call's share of its account's concurrency limit until the call ends.
     pub(crate) fn set_account_place(&mut self, place: Option<AccountPlace>) {
-        self.place = place;
+        self.account_place = place;
     }
 
     /// Records the end of the call in the log, the metrics and the trace.
