--- a/src/edge/accounts.rs
+++ b/src/edge/accounts.rs
@@ -15,16 +15,16 @@
 #[derive(Default)]
 pub(crate) struct Accounts {
     limiters: RefCell<HashMap<ClientAccountId, Limiter>>,
-    keepers: RefCell<HashMap<ClientAccountId, ShareAllocator>>,
+    allocators: RefCell<HashMap<ClientAccountId, ShareAllocator>>,
 }
 
 /// A unit of an account's concurrency, released on drop.
-pub(crate) struct AccountPlace {
+pub(crate) struct AccountPermit {
     cx: Rc<Gateway>,
     account: ClientAccountId,
 }
 
-impl Drop for AccountPlace {
+impl Drop for AccountPermit {
     fn drop(&mut self) {
         let mut limiters = self.cx.accounts.limiters.borrow_mut();
         if let Some(limiter) = limiters.get_mut(&self.account) {
@@ -37,7 +37,7 @@
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
     key_owner: Option<&KeyOwner>,
-) -> Result<Option<AccountPlace>, std::time::Duration> {
+) -> Result<Option<AccountPermit>, std::time::Duration> {
     let limited = key_owner.and_then(|owner| owner.limits.map(|limits| (&owner.account, limits)));
     let Some((account, limits)) = limited else {
         return Ok(None);
@@ -49,7 +49,7 @@
         .entry(account.clone())
         .or_insert_with(|| Limiter::new(now));
     limiter.admit(now, limits, routers)?;
-    Ok(Some(AccountPlace {
+    Ok(Some(AccountPermit {
         cx: Rc::clone(cx),
         account: account.clone(),
     }))
@@ -57,7 +57,7 @@
 
 /// Returns a request for this router's demand on each account, with the address of the account's owner.
 /// Shares of accounts that this router owns are granted at once.
-pub(crate) fn asks(cx: &Gateway) -> Vec<(SocketAddr, Message)> {
+pub(crate) fn share_requests(cx: &Gateway) -> Vec<(SocketAddr, Message)> {
     let now = cx.now();
     let mut requests = Vec::new();
     for (account, demand) in demands(cx, now) {
@@ -93,7 +93,7 @@
         is_used
     });
     cx.accounts
-        .keepers
+        .allocators
         .borrow_mut()
         .retain(|_, allocator| !allocator.is_idle(now));
     demands
@@ -114,7 +114,7 @@
         })
     })?;
     let now = cx.now();
-    let mut allocators = cx.accounts.keepers.borrow_mut();
+    let mut allocators = cx.accounts.allocators.borrow_mut();
     let allocator = allocators
         .entry(account.clone())
         .or_insert_with(|| ShareAllocator::new(now));
--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    accounts::{self, AccountPlace},
+    accounts::{self, AccountPermit},
     attempt::Call,
     call_end::{CallGuard, QUARANTINE_TEXT},
     crash_checks,
@@ -86,7 +86,7 @@
     cx: &Rc<Gateway>,
     incoming_call: IncomingCall,
     ending: &mut CallGuard,
-) -> Result<(Call, Option<AccountPlace>), Refusal> {
+) -> Result<(Call, Option<AccountPermit>), Refusal> {
     let config = cx
         .serving()
         .ok_or_else(|| no_config_refusal(cx, &incoming_call))?;
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -251,7 +251,7 @@
         dispatcher.load.on_report(cx.now(), place.target(), load);
     }
     place.on_head(&facts);
-    withdrawals::on_head(cx, call, place.target(), head.status, &facts);
+    withdrawals::on_response_head(cx, call, place.target(), head.status, &facts);
     let begun = StartedAnswer {
         head,
         body,
--- a/src/edge/call_end.rs
+++ b/src/edge/call_end.rs
@@ -9,7 +9,7 @@
 use slog::info;
 
 use super::{
-    accounts::AccountPlace,
+    accounts::AccountPermit,
     attempt::{AttemptFailure, Call},
     attempt_end::AttemptEnd,
     body::AnswerBody,
@@ -60,7 +60,7 @@
     pub(crate) fingerprint: Option<Fingerprint>,
     received: Instant,
     is_logged: Cell<bool>,
-    account_place: Option<AccountPlace>,
+    account_place: Option<AccountPermit>,
     _guard: InProgressGuard,
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// Keeps the call's share of its account's concurrency limit until the call ends.
-    pub(crate) fn set_account_place(&mut self, place: Option<AccountPlace>) {
+    pub(crate) fn set_account_place(&mut self, place: Option<AccountPermit>) {
         self.account_place = place;
     }
 
--- a/src/edge/claim_keeper.rs
+++ b/src/edge/claim_keeper.rs
@@ -17,19 +17,19 @@
 };
 
 /// Minimum interval between two writes of a shard, so that eight shards stay below 80 writes per second.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Maximum number of steps in one write.
-const BATCH: usize = 48;
+const MAX_BATCH_STEPS: usize = 48;
 
 /// Maximum number of steps that wait for a shard; further ones are not recorded.
-const QUEUE: usize = 512;
+const MAX_QUEUED_STEPS: usize = 512;
 
 /// Maximum number of attempts to write a batch. After a conflict with another router's write, the batch
 /// is decided again.
-const TRIES: u32 = 6;
+const MAX_WRITE_ATTEMPTS: u32 = 6;
 
-struct Waiting {
+struct PendingStep {
     step: ClaimStep,
     reply: oneshot::Sender<ClaimVerdict>,
 }
@@ -37,18 +37,18 @@
 /// Job of the task that writes a shard.
 enum Job {
     /// Records a step.
-    Record(Waiting),
+    Record(PendingStep),
     /// Ensures that the store holds all steps that were recorded.
     Recover,
 }
 
 /// Records steps of claims in the store, with one task per shard.
-pub(crate) struct ClaimKeeper {
+pub(crate) struct ClaimRecorder {
     store: Rc<dyn MetaStore>,
     shards: RefCell<HashMap<u64, Sender<Job>>>,
 }
 
-impl ClaimKeeper {
+impl ClaimRecorder {
     pub(crate) fn new(store: Rc<dyn MetaStore>) -> Self {
         Self {
             store,
@@ -60,7 +60,7 @@
     pub(crate) async fn step(&self, step: ClaimStep) -> ClaimVerdict {
         let (reply, rx) = oneshot::channel();
         let queue = self.queue(step.key.shard());
-        match queue.try_send(Job::Record(Waiting { step, reply })) {
+        match queue.try_send(Job::Record(PendingStep { step, reply })) {
             Ok(()) => rx.await.unwrap_or(ClaimVerdict::NotRecorded),
             Err(_) => ClaimVerdict::NotRecorded,
         }
@@ -77,8 +77,8 @@
     fn queue(&self, shard: u64) -> Sender<Job> {
         let mut shards = self.shards.borrow_mut();
         let queue = shards.entry(shard).or_insert_with(|| {
-            let (tx, rx) = mpsc::channel(QUEUE);
-            tokio::task::spawn_local(keep(shard, Rc::clone(&self.store), rx));
+            let (tx, rx) = mpsc::channel(MAX_QUEUED_STEPS);
+            tokio::task::spawn_local(run_shard(shard, Rc::clone(&self.store), rx));
             tx
         });
         queue.clone()
@@ -86,7 +86,7 @@
 }
 
 impl Job {
-    fn waiting(self) -> Option<Waiting> {
+    fn waiting(self) -> Option<PendingStep> {
         match self {
             Self::Record(waiting) => Some(waiting),
             Self::Recover => None,
@@ -95,28 +95,28 @@
 }
 
 /// A shard as loaded from the store, with the revision of its last chunk.
-struct Kept {
+struct LoadedShard {
     shard: ClaimShard,
     revision: Option<StoreRevision>,
     /// Whether the last chunk in the store differs from this one, or may differ.
     is_stale: bool,
 }
 
-async fn keep(number: u64, store: Rc<dyn MetaStore>, mut rx: Receiver<Job>) {
+async fn run_shard(number: u64, store: Rc<dyn MetaStore>, mut rx: Receiver<Job>) {
     let mut loaded = None;
     let mut jobs = Vec::new();
     let mut next_write = Instant::now();
-    while rx.recv_many(&mut jobs, BATCH).await > 0 {
+    while rx.recv_many(&mut jobs, MAX_BATCH_STEPS).await > 0 {
         tokio::time::sleep_until(next_write).await;
-        while jobs.len() < BATCH
+        while jobs.len() < MAX_BATCH_STEPS
             && let Ok(more) = rx.try_recv()
         {
             jobs.push(more);
         }
-        let waiting: Vec<Waiting> = jobs.drain(..).filter_map(Job::waiting).collect();
+        let waiting: Vec<PendingStep> = jobs.drain(..).filter_map(Job::waiting).collect();
         let steps: Vec<_> = waiting.iter().map(|w| w.step).collect();
         let verdicts = record(number, &*store, &mut loaded, &steps).await;
-        next_write = Instant::now() + WRITE_EVERY;
+        next_write = Instant::now() + MIN_WRITE_INTERVAL;
         let verdicts = verdicts.unwrap_or_else(|_| {
             loaded.iter_mut().for_each(|k| k.is_stale = true);
             vec![ClaimVerdict::NotRecorded; steps.len()]
@@ -133,10 +133,10 @@
 async fn record(
     number: u64,
     store: &dyn MetaStore,
-    loaded: &mut Option<Kept>,
+    loaded: &mut Option<LoadedShard>,
     steps: &[ClaimStep],
 ) -> Result<Vec<ClaimVerdict>, StoreError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         if loaded.as_ref().is_none_or(|k| k.is_stale) {
             let reloaded = load(number, store, loaded.as_ref()).await?;
             *loaded = Some(reloaded);
@@ -157,7 +157,7 @@
 async fn write(
     number: u64,
     store: &dyn MetaStore,
-    current: &mut Kept,
+    current: &mut LoadedShard,
     batch: Batch,
 ) -> Result<Option<Vec<ClaimVerdict>>, StoreError> {
     let value =
@@ -200,11 +200,11 @@
 async fn load(
     number: u64,
     store: &dyn MetaStore,
-    before: Option<&Kept>,
-) -> Result<Kept, StoreError> {
+    before: Option<&LoadedShard>,
+) -> Result<LoadedShard, StoreError> {
     let prefix = ClaimShard::store_prefix(number);
     let entries = store.range(&prefix).await?;
-    let mut loaded = Kept {
+    let mut loaded = LoadedShard {
         shard: ClaimShard::default(),
         revision: None,
         is_stale: false,
@@ -224,8 +224,8 @@
         loaded.revision = Some(entry.revision);
     }
     // Within an era the last chunk is never removed, so a missing one was lost with an era.
-    let era = |k: &Kept| k.revision.map(|r| r.era);
-    let is_lost = |b: &&Kept| era(b) != era(&loaded) || b.shard.is_recovering();
+    let era = |k: &LoadedShard| k.revision.map(|r| r.era);
+    let is_lost = |b: &&LoadedShard| era(b) != era(&loaded) || b.shard.is_recovering();
     if let Some(before) = before.filter(is_lost) {
         loaded.shard.recover(&before.shard, wall_s());
     }
--- a/src/edge/claimed_calls.rs
+++ b/src/edge/claimed_calls.rs
@@ -154,7 +154,7 @@
     let shard = format!("claims/{}", step.key.shard());
     let owner = cx.peers.borrow().owner_of(cx.now(), &shard);
     if let Some(address) = owner {
-        match peer_calls::claim(cx, address, step).await {
+        match peer_calls::send_claim_step(cx, address, step).await {
             Ok(verdict) => return verdict,
             Err(e) => {
                 cx.peers.borrow_mut().on_unreachable(cx.now(), address);
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -7,8 +7,8 @@
 use slog::{info, warn};
 
 use super::{
-    fleet::{self, take_change},
-    follow::read_changes,
+    fleet::{self, apply_change},
+    follow::reload_changes,
     gateway::Gateway,
 };
 use crate::{
@@ -26,16 +26,16 @@
 const TRIES: u32 = 16;
 
 /// Pause before a write with an unknown outcome is tried again.
-const SETTLE_WAIT: Duration = Duration::from_millis(200);
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Maximum number of attempts at a write with an unknown outcome before the operator gets "unknown".
-const SETTLE_TRIES: u32 = 10;
+const MAX_WRITE_ATTEMPTS: u32 = 10;
 
 /// Number of changes after which the whole configuration is stored.
-const SNAPSHOT_EVERY: u64 = 128;
+const CHANGES_PER_SNAPSHOT: u64 = 128;
 
 /// Number of changes before a stored snapshot that remain in the store individually.
-const KEEP_CHANGES: u64 = 256;
+const RETAINED_CHANGES: u64 = 256;
 
 /// Response to an operator whose change was accepted.
 #[derive(Debug, Clone, Serialize)]
@@ -45,9 +45,9 @@
 }
 
 /// Outcome of one write.
-enum Written {
+enum WriteOutcome {
     Accepted(Change),
-    Lost,
+    RevisionTaken,
     Unknown,
 }
 
@@ -61,14 +61,14 @@
             .accepted_changes
             .with_log(|log| intent::change(log, plan))?;
         match write(cx, change).await? {
-            Written::Accepted(change) => return Ok(accept(cx, change)),
+            WriteOutcome::Accepted(change) => return Ok(accept(cx, change)),
             // Another change has this revision: apply it and try the next revision.
-            Written::Lost => {
-                if let Err(e) = read_changes(cx).await {
+            WriteOutcome::RevisionTaken => {
+                if let Err(e) = reload_changes(cx).await {
                     info!(cx.log, "cannot read changes"; "why" => %e);
                 }
             }
-            Written::Unknown => {
+            WriteOutcome::Unknown => {
                 let detail = format!("outcome not known yet: scaleford intent show {}", plan.id);
                 return Err(IntentError::new(ResultCode::ChangeUnknown, detail));
             }
@@ -86,21 +86,21 @@
     })
 }
 
-async fn write(cx: &Rc<Gateway>, change: Change) -> Result<Written, IntentError> {
+async fn write(cx: &Rc<Gateway>, change: Change) -> Result<WriteOutcome, IntentError> {
     let internal_error =
         |e: serde_json::Error| IntentError::new(ResultCode::Internal, e.to_string());
     let value = serde_json::to_vec(&change).map_err(internal_error)?;
     let key = change_key(change.revision);
-    for attempt in 0..SETTLE_TRIES {
+    for attempt in 0..MAX_WRITE_ATTEMPTS {
         if attempt > 0 {
-            tokio::time::sleep(SETTLE_WAIT).await;
+            tokio::time::sleep(WRITE_RETRY_PAUSE).await;
         }
         cx.metrics.on_store_call("confirm");
         match cx.store.swap(&key, None, value.clone()).await {
-            Ok(SwapResult::Done(_)) => return Ok(Written::Accepted(change)),
-            Ok(SwapResult::Conflict) => match whose(cx, &key, &change).await {
-                Some(true) => return Ok(Written::Accepted(change)),
-                Some(false) => return Ok(Written::Lost),
+            Ok(SwapResult::Done(_)) => return Ok(WriteOutcome::Accepted(change)),
+            Ok(SwapResult::Conflict) => match is_same_change(cx, &key, &change).await {
+                Some(true) => return Ok(WriteOutcome::Accepted(change)),
+                Some(false) => return Ok(WriteOutcome::RevisionTaken),
                 None => {}
             },
             Err(e) => {
@@ -108,11 +108,11 @@
             }
         }
     }
-    Ok(Written::Unknown)
+    Ok(WriteOutcome::Unknown)
 }
 
 /// Returns whether the change at a key is this one; `None` if it cannot be read.
-async fn whose(cx: &Gateway, key: &str, change: &Change) -> Option<bool> {
+async fn is_same_change(cx: &Gateway, key: &str, change: &Change) -> Option<bool> {
     cx.metrics.on_store_call("confirm");
     let entry = cx.store.get(key).await.ok()??;
     let found: Change = serde_json::from_slice(&entry.value).ok()?;
@@ -128,7 +128,8 @@
         "author" => &change.author, "reason" => &change.reason);
     fleet::spread(cx, &change);
     let revision = change.revision.0;
-    if take_change(cx, change) == ChangeOutcome::Applied && revision.is_multiple_of(SNAPSHOT_EVERY)
+    if apply_change(cx, change) == ChangeOutcome::Applied
+        && revision.is_multiple_of(CHANGES_PER_SNAPSHOT)
     {
         let cx = Rc::clone(cx);
         tokio::task::spawn_local(async move {
@@ -151,8 +152,8 @@
     cx.store
         .swap(SNAPSHOT_KEY, existing.map(|e| e.revision), value)
         .await?;
-    let last = snapshot.revision.0.saturating_sub(KEEP_CHANGES);
-    for n in last.saturating_sub(SNAPSHOT_EVERY) + 1..=last {
+    let last = snapshot.revision.0.saturating_sub(RETAINED_CHANGES);
+    for n in last.saturating_sub(CHANGES_PER_SNAPSHOT) + 1..=last {
         cx.store.remove(&change_key(Revision(n))).await?;
     }
     Ok(())
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -13,34 +13,34 @@
 };
 
 /// Maximum time that a router holds a request until it has something newer.
-pub(super) const ASK_WAIT: Duration = Duration::from_secs(5);
+pub(super) const MAX_HOLD_TIME: Duration = Duration::from_secs(5);
 
 /// Maximum time that a router that feeds others holds a request until it has something newer.
 ///
 /// Each response passes on the proof that nothing is newer, so the proof ages by at most this time
 /// from one router to the next.
-pub(super) const FEED_WAIT: Duration = Duration::from_millis(500);
+pub(super) const MAX_FEEDER_HOLD_TIME: Duration = Duration::from_millis(500);
 
 /// Interval at which a router that holds a request checks whether it can still serve the store's content.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const SOURCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Maximum age of a router's proof for it to feed others: the oldest age on a healthy path, plus one
 /// datagram that had to be sent again.
-pub(super) const FEEDS_FOR: Duration = Duration::from_millis(2_500);
+pub(super) const MAX_FEEDER_PROOF_AGE: Duration = Duration::from_millis(2_500);
 
 /// Maximum number of cached responses. Requests are for the same revision, except from routers that
 /// start or were disconnected.
-const ANSWERS_KEPT: usize = 4;
+const MAX_CACHED_RESPONSES: usize = 4;
 
 /// Size from which a response is compressed as a whole, in bytes.
-const PACKED_FROM: usize = 4 << 10;
+const MIN_BYTES_TO_COMPRESS: usize = 4 << 10;
 
 /// Maximum size of a decompressed response, in bytes: about ten times the entries of the largest fleet
 /// that is designed for.
-const UNPACK_LIMIT: usize = 64 << 20;
+const MAX_UNPACKED_BYTES: usize = 64 << 20;
 
 /// Compression level of responses, from 0 to 10; it reduces entries of targets to a fifth of their size.
-const PACK_LEVEL: u8 = 3;
+const COMPRESSION_LEVEL: u8 = 3;
 
 /// First byte of a compressed response.
 const PACKED: u8 = 1;
@@ -60,7 +60,7 @@
 
 impl Proof {
     /// Returns the peer's confirmation that follows from its response to a request sent at `asked`.
-    pub(super) fn vouch(self, sent: Instant) -> PeerConfirmation {
+    pub(super) fn to_confirmation(self, sent: Instant) -> PeerConfirmation {
         let ms = |ms: u32| Duration::from_millis(u64::from(ms));
         PeerConfirmation {
             echo: sent + ms(self.held_ms),
@@ -71,15 +71,15 @@
 
     /// Returns whether the proof is recent enough for its sender to feed other routers.
     pub(super) fn is_recent(self) -> bool {
-        Duration::from_millis(u64::from(self.age_ms)) < FEEDS_FOR
+        Duration::from_millis(u64::from(self.age_ms)) < MAX_FEEDER_PROOF_AGE
     }
 }
 
 /// Most recently encoded responses, latest first.
 #[derive(Default)]
-pub(super) struct Answers(VecDeque<Answer>);
+pub(super) struct ResponseCache(VecDeque<CachedResponse>);
 
-struct Answer {
+struct CachedResponse {
     after: StoreRevision,
     revision: StoreRevision,
     body: Bytes,
@@ -87,7 +87,7 @@
 
 /// Returns the encoded changes after a revision, or an empty response once `wait` has passed, together
 /// with the proof of the configuration.
-pub(super) async fn newer(
+pub(super) async fn changes_after(
     cx: &Gateway,
     after: StoreRevision,
     wait: Duration,
@@ -100,12 +100,13 @@
         let is_behind = after < cx.mirror.borrow().revision();
         // A router that lost the store responds at once, so that the peer asks another one. A router that
         // starts holds the request until its own first list arrives.
-        let is_useful = feeds(cx, now) || cx.mirror.borrow().revision() == StoreRevision::default();
+        let is_useful =
+            can_feed(cx, now) || cx.mirror.borrow().revision() == StoreRevision::default();
         if is_behind || now >= deadline || !is_useful {
-            let body = answer(cx, after)?;
+            let body = encoded_response(cx, after)?;
             return Ok((body, proof(cx, now, now.since(received))));
         }
-        let pause = deadline.since(now).min(LOOK_EVERY);
+        let pause = deadline.since(now).min(SOURCE_CHECK_INTERVAL);
         tokio::select! {
             () = changed => {}
             () = tokio::time::sleep(pause) => {}
@@ -115,10 +116,10 @@
 
 /// Returns whether this router's copy of the store is current: it reads the store itself, or its feeder
 /// confirmed the configuration recently.
-fn feeds(cx: &Gateway, now: Instant) -> bool {
+fn can_feed(cx: &Gateway, now: Instant) -> bool {
     let age = cx.freshness.borrow().age(now);
     let uses_feeders = cx.peers.borrow().uses_feeders(now);
-    cx.reads_store() || (uses_feeders && age.is_some_and(|age| age < FEEDS_FOR))
+    cx.reads_store() || (uses_feeders && age.is_some_and(|age| age < MAX_FEEDER_PROOF_AGE))
 }
 
 fn proof(cx: &Gateway, now: Instant, hold_time: Duration) -> Option<Proof> {
@@ -131,11 +132,11 @@
     })
 }
 
-fn answer(cx: &Gateway, after: StoreRevision) -> Result<Bytes, StoreError> {
+fn encoded_response(cx: &Gateway, after: StoreRevision) -> Result<Bytes, StoreError> {
     let revision = cx.mirror.borrow().revision();
-    let unseen = fleet::unseen_entries(cx, revision);
+    let unseen = fleet::unstored_entries(cx, revision);
     let mut cache = cx.response_cache.borrow_mut();
-    let is_same = |a: &&Answer| a.after == after && a.revision == revision;
+    let is_same = |a: &&CachedResponse| a.after == after && a.revision == revision;
     // Changes that have not been read back from the store yet are not part of a revision, so a response
     // with such changes is not taken from the cache.
     if let Some(cached) = cache.0.iter().find(is_same).filter(|_| unseen.is_empty()) {
@@ -146,8 +147,8 @@
         update.items.extend(unseen);
     }
     let body = encode(&reply.unwrap_or(MirrorReply::Nothing))?;
-    cache.0.truncate(ANSWERS_KEPT - 1);
-    let cached = Answer {
+    cache.0.truncate(MAX_CACHED_RESPONSES - 1);
+    let cached = CachedResponse {
         after,
         revision,
         body: body.clone(),
@@ -158,14 +159,14 @@
 
 fn encode(reply: &MirrorReply) -> Result<Bytes, StoreError> {
     let mut uncompressed = vec![PLAIN];
-    uncompressed = postcard::to_extend(reply, uncompressed).map_err(garbled)?;
-    if uncompressed.len() < PACKED_FROM {
+    uncompressed = postcard::to_extend(reply, uncompressed).map_err(invalid_response)?;
+    if uncompressed.len() < MIN_BYTES_TO_COMPRESS {
         return Ok(uncompressed.into());
     }
     let mut compressed = vec![PACKED];
     compressed.extend(miniz_oxide::deflate::compress_to_vec(
         &uncompressed[1..],
-        PACK_LEVEL,
+        COMPRESSION_LEVEL,
     ));
     Ok(compressed.into())
 }
@@ -173,16 +174,18 @@
 /// Decodes a peer's response.
 pub(super) fn decode(body: &[u8]) -> Result<MirrorReply, StoreError> {
     match body.split_first() {
-        Some((&PLAIN, uncompressed)) => postcard::from_bytes(uncompressed).map_err(garbled),
+        Some((&PLAIN, uncompressed)) => {
+            postcard::from_bytes(uncompressed).map_err(invalid_response)
+        }
         Some((&PACKED, compressed)) => {
             let uncompressed =
-                miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, UNPACK_LIMIT);
-            postcard::from_bytes(&uncompressed.map_err(garbled)?).map_err(garbled)
+                miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, MAX_UNPACKED_BYTES);
+            postcard::from_bytes(&uncompressed.map_err(invalid_response)?).map_err(invalid_response)
         }
-        _ => Err(garbled("unknown response format")),
+        _ => Err(invalid_response("unknown response format")),
     }
 }
 
-fn garbled(e: impl std::fmt::Display) -> StoreError {
+fn invalid_response(e: impl std::fmt::Display) -> StoreError {
     StoreError::InvalidResponse(e.to_string())
 }
--- a/src/edge/fleet.rs
+++ b/src/edge/fleet.rs
@@ -17,12 +17,12 @@
 
 /// Log of accepted changes, and the number of diverged or older histories that were refused.
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct AcceptedChanges {
     log: RefCell<ConfigLog>,
     reverts_refused: std::cell::Cell<u64>,
 }
 
-impl Fleet {
+impl AcceptedChanges {
     /// Returns the revision of the last change in force.
     pub(crate) fn revision(&self) -> Revision {
         self.log.borrow().revision()
@@ -44,31 +44,31 @@
         log.recent().find(|c| c.id == *id).map(|c| c.revision)
     }
 
-    fn on_revert(&self) {
+    fn count_refused_revert(&self) {
         self.reverts_refused.set(self.reverts_refused.get() + 1);
     }
 }
 
 /// Applies a change from any source; returns the outcome.
-pub(crate) fn take_change(cx: &Gateway, change: Change) -> ChangeOutcome {
+pub(crate) fn apply_change(cx: &Gateway, change: Change) -> ChangeOutcome {
     let revision = change.revision;
     let outcome = cx.accepted_changes.log.borrow_mut().on_change(change);
-    after(cx, outcome, revision);
+    handle_outcome(cx, outcome, revision);
     outcome
 }
 
 /// Applies a whole configuration from any source.
-pub(crate) fn take_snapshot(cx: &Gateway, snapshot: Snapshot) {
+pub(crate) fn apply_snapshot(cx: &Gateway, snapshot: Snapshot) {
     let revision = snapshot.revision;
     let outcome = cx.accepted_changes.log.borrow_mut().on_snapshot(snapshot);
-    after(cx, outcome, revision);
+    handle_outcome(cx, outcome, revision);
 }
 
-fn after(cx: &Gateway, outcome: ChangeOutcome, revision: Revision) {
+fn handle_outcome(cx: &Gateway, outcome: ChangeOutcome, revision: Revision) {
     match outcome {
-        ChangeOutcome::Applied => put_in_force(cx),
+        ChangeOutcome::Applied => apply_accepted_config(cx),
         ChangeOutcome::Conflict => {
-            cx.accepted_changes.on_revert();
+            cx.accepted_changes.count_refused_revert();
             error!(cx.log, "refused a change of a diverged history";
                 "code" => ResultCode::StoreReverted.number(), "revision" => revision.0);
         }
@@ -76,7 +76,7 @@
     }
 }
 
-fn put_in_force(cx: &Gateway) {
+fn apply_accepted_config(cx: &Gateway) {
     let (revision, config) = {
         let log = cx.accepted_changes.log.borrow();
         (log.revision(), Arc::clone(log.config()))
@@ -114,7 +114,7 @@
     for peer in cx.peers.borrow().addresses(cx.now()) {
         let (cx, body) = (Rc::clone(cx), body.clone());
         tokio::task::spawn_local(async move {
-            if let Err(e) = peer_calls::change(peer, body).await {
+            if let Err(e) = peer_calls::send_change(peer, body).await {
                 info!(cx.log, "cannot send change to peer"; "peer" => %peer, "why" => %e);
             }
         });
@@ -122,15 +122,15 @@
 }
 
 /// Returns the revision of the last change that the store is known to hold.
-pub(crate) fn newest_stored(cx: &Gateway) -> Revision {
+pub(crate) fn newest_stored_revision(cx: &Gateway) -> Revision {
     let mirror = cx.mirror.borrow();
     let newest = mirror.last_key(own::CHANGE_PREFIX);
     newest.and_then(own::change_revision).unwrap_or_default()
 }
 
 /// Returns the recent changes in force here that the store is not known to hold.
-pub(crate) fn unseen_changes(cx: &Gateway) -> Vec<Arc<Change>> {
-    let stored = newest_stored(cx);
+pub(crate) fn unstored_changes(cx: &Gateway) -> Vec<Arc<Change>> {
+    let stored = newest_stored_revision(cx);
     cx.accepted_changes.with_log(|log| {
         let unseen = log.recent().filter(|c| c.revision > stored);
         unseen.cloned().collect()
@@ -138,7 +138,7 @@
 }
 
 /// Returns those changes as store entries, for a peer that is sent the store's content as of `at`.
-pub(crate) fn unseen_entries(cx: &Gateway, at: StoreRevision) -> Vec<StoreItem> {
+pub(crate) fn unstored_entries(cx: &Gateway, at: StoreRevision) -> Vec<StoreItem> {
     let entry = |change: Arc<Change>| {
         // An accepted change was encoded before, so encoding does not fail.
         let value = serde_json::to_vec(&*change).ok()?;
@@ -148,15 +148,15 @@
             revision: at,
         })
     };
-    unseen_changes(cx).into_iter().filter_map(entry).collect()
+    unstored_changes(cx).into_iter().filter_map(entry).collect()
 }
 
 /// Logs an error if the store lacks changes that are in force, and writes them to it again.
-pub(crate) async fn mend_store(cx: &Rc<Gateway>, lost: Vec<Arc<Change>>) {
+pub(crate) async fn restore_lost_changes(cx: &Rc<Gateway>, lost: Vec<Arc<Change>>) {
     let Some(first) = lost.first() else {
         return;
     };
-    cx.accepted_changes.on_revert();
+    cx.accepted_changes.count_refused_revert();
     error!(cx.log, "the store holds an older configuration than the one in force";
         "code" => ResultCode::StoreReverted.number(), "first_lost" => first.revision.0,
         "lost" => lost.len());
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -11,10 +11,10 @@
 use slog::{info, warn};
 
 use super::{
-    feed::{ASK_WAIT, FEED_WAIT, Proof},
+    feed::{MAX_FEEDER_HOLD_TIME, MAX_HOLD_TIME, Proof},
     fleet,
     gateway::Gateway,
-    news::{take_news, take_own},
+    news::{apply_own_entries, apply_update},
     peer_calls::PeerConn,
 };
 use crate::{
@@ -33,21 +33,21 @@
 const WATCH_PAUSE: Duration = Duration::from_millis(300);
 
 /// Initial pause between a reader's calls while the store does not answer; doubled after each failure.
-const FIRST_BACKOFF: Duration = Duration::from_millis(40);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(40);
 /// Maximum of that pause, before jitter.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(300);
+const MAX_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Pause before the next request after a reader failed or returned nothing useful, or while no source
 /// is available.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Interval at which a router that waits for its reader checks whether another peer has a later
 /// revision. If one does in two checks in a row, the request is abandoned and that peer is asked
 /// instead.
-const OVERTAKEN_CHECK: Duration = Duration::from_millis(150);
+const OVERTAKEN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// State of this router's synchronization with the store.
-struct Follower {
+struct StoreSync {
     cx: Rc<Gateway>,
     upstream: Option<PeerConn>,
     listed: bool,
@@ -57,12 +57,12 @@
 }
 
 /// Keeps the copy of the store up to date until the router stops.
-pub(super) async fn follow_store(cx: Rc<Gateway>) {
-    let mut follower = Follower {
+pub(super) async fn sync_store(cx: Rc<Gateway>) {
+    let mut follower = StoreSync {
         cx,
         upstream: None,
         listed: false,
-        backoff: FIRST_BACKOFF,
+        backoff: INITIAL_BACKOFF,
         retry_at: Instant::default(),
     };
     loop {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Follower {
+impl StoreSync {
     /// Sends one request, to the store or to a reader, and applies the response.
     async fn step(&mut self) {
         let next = {
@@ -78,9 +78,9 @@
             peers.next_read(self.cx.now(), &self.read_state())
         };
         match next {
-            NextRead::Ask(reader) => self.ask(reader).await,
-            NextRead::Store => self.read().await,
-            NextRead::Wait => tokio::time::sleep(ASK_AGAIN).await,
+            NextRead::Ask(reader) => self.request_from_reader(reader).await,
+            NextRead::Store => self.read_store().await,
+            NextRead::Wait => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Requests changes from a peer that reads the store.
-    async fn ask(&mut self, reader: SocketAddr) {
+    async fn request_from_reader(&mut self, reader: SocketAddr) {
         let existing = self.upstream.take().filter(|u| u.address() == reader);
         let connected = match existing {
             Some(upstream) => Ok(upstream),
@@ -107,13 +107,17 @@
         let response = match connected {
             Ok(upstream) => {
                 let after = self.cx.mirror.borrow().revision();
-                let wait = if uses_feeders { FEED_WAIT } else { ASK_WAIT };
+                let wait = if uses_feeders {
+                    MAX_FEEDER_HOLD_TIME
+                } else {
+                    MAX_HOLD_TIME
+                };
                 tokio::select! {
                     response = upstream.newer(after, wait) => {
                         self.upstream = Some(upstream);
                         response
                     }
-                    () = self.overtaken(reader, after), if !uses_feeders => return,
+                    () = self.wait_until_overtaken(reader, after), if !uses_feeders => return,
                 }
             }
             Err(e) => Err(e),
@@ -124,22 +128,22 @@
         let now = self.cx.now();
         let is_reader = self.cx.peers.borrow().is_reader(now);
         if state.store_lost && is_reader && now >= self.retry_at {
-            self.read().await;
+            self.read_store().await;
         }
         match response {
-            Ok((reply, proof)) => self.take_answer(reader, sent, reply, proof).await,
+            Ok((reply, proof)) => self.apply_reply(reader, sent, reply, proof).await,
             Err(e) => {
                 self.upstream = None;
                 info!(self.cx.log, "reader does not answer"; "reader" => %reader, "why" => %e);
                 self.cx.peers.borrow_mut().on_nothing_recent(now, reader);
-                tokio::time::sleep(ASK_AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
         self.listed |= self.cx.mirror.borrow().revision() != StoreRevision::default();
     }
 
     /// Applies a peer's response and the confirmation of the configuration that comes with it.
-    async fn take_answer(
+    async fn apply_reply(
         &self,
         reader: SocketAddr,
         sent: Instant,
@@ -149,15 +153,15 @@
         let cx = &self.cx;
         let has_changes = reply != MirrorReply::Nothing;
         match reply {
-            MirrorReply::Changes(update) => take_news(cx, &update, false, reader),
-            MirrorReply::List(update) => take_news(cx, &update, true, reader),
+            MirrorReply::Changes(update) => apply_update(cx, &update, false, reader),
+            MirrorReply::List(update) => apply_update(cx, &update, true, reader),
             MirrorReply::Nothing => log_if_behind(cx, reader),
         }
         let uses_feeders = cx.peers.borrow().uses_feeders(cx.now());
         if let Some(proof) = proof.filter(|_| uses_feeders) {
             cx.freshness
                 .borrow_mut()
-                .on_peer_confirmation(proof.vouch(sent));
+                .on_peer_confirmation(proof.to_confirmation(sent));
         }
         let is_recent = proof.is_some_and(Proof::is_recent);
         if uses_feeders && !is_recent {
@@ -166,15 +170,15 @@
         }
         let is_useful = has_changes || (uses_feeders && is_recent);
         if !is_useful {
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Waits until the reader falls behind other peers or is no longer the selected one.
-    async fn overtaken(&self, reader: SocketAddr, after: StoreRevision) {
+    async fn wait_until_overtaken(&self, reader: SocketAddr, after: StoreRevision) {
         let mut times_ahead = 0;
         loop {
-            tokio::time::sleep(OVERTAKEN_CHECK).await;
+            tokio::time::sleep(OVERTAKEN_CHECK_INTERVAL).await;
             let now = self.cx.now();
             let peers = self.cx.peers.borrow();
             let is_ahead = peers.peer_ahead_of(now, after).is_some();
@@ -186,11 +190,11 @@
     }
 
     /// Lists or watches the store directly.
-    async fn read(&mut self) {
+    async fn read_store(&mut self) {
         let sent = self.cx.now();
         let after = self.cx.mirror.borrow().revision();
         let unseen = match self.cx.cfg.uses_operator_config {
-            true => fleet::unseen_changes(&self.cx),
+            true => fleet::unstored_changes(&self.cx),
             false => Vec::new(),
         };
         let unseen: Vec<Revision> = unseen.iter().map(|c| c.revision).collect();
@@ -199,7 +203,7 @@
             true => self.cx.store.watch(after, WATCH_WAIT).await,
         };
         match response {
-            Ok(update) => self.on_answer(&update, sent, &unseen).await,
+            Ok(update) => self.on_store_response(&update, sent, &unseen).await,
             Err(StoreError::HistoryGone | StoreError::Reverted) => {
                 self.cx.metrics.on_store_call("history_gone");
                 warn!(self.cx.log, "store history gone"; "after" => after.number, "era" => after.era.0);
@@ -207,15 +211,20 @@
             }
             Err(e) => {
                 self.cx.metrics.on_store_call("failed");
-                self.on_failure(&e);
+                self.on_store_failure(&e);
             }
         }
     }
 
-    async fn on_answer(&mut self, update: &StoreUpdate, sent: Instant, unseen: &[Revision]) {
+    async fn on_store_response(
+        &mut self,
+        update: &StoreUpdate,
+        sent: Instant,
+        unseen: &[Revision],
+    ) {
         let cx = &self.cx;
         cx.metrics.on_store_call("answered");
-        self.backoff = FIRST_BACKOFF;
+        self.backoff = INITIAL_BACKOFF;
         let now = cx.now();
         let known = cx.mirror.borrow().revision();
         if update.revision.era < known.era {
@@ -241,13 +250,13 @@
         let is_list = !self.listed;
         let is_empty = update.items.is_empty() && !is_list;
         self.listed = true;
-        take_news(cx, update, is_list, cx.cfg.peers);
+        apply_update(cx, update, is_list, cx.cfg.peers);
         let is_lost = |change: &Arc<Change>| unseen.contains(&change.revision);
         if is_list || is_empty {
             // A change that was in force before the call was sent would be part of the response.
-            let mut lost = fleet::unseen_changes(cx);
+            let mut lost = fleet::unstored_changes(cx);
             lost.retain(is_lost);
-            fleet::mend_store(cx, lost).await;
+            fleet::restore_lost_changes(cx, lost).await;
         }
         let confirmed_at = match now.since(sent) {
             // A watch that returned nothing confirms that no change was made before its wait ended.
@@ -263,7 +272,7 @@
         }
     }
 
-    fn on_failure(&mut self, e: &StoreError) {
+    fn on_store_failure(&mut self, e: &StoreError) {
         let cx = &self.cx;
         let now = cx.now();
         if cx.store_unavailable_since.get().is_none() {
@@ -278,7 +287,7 @@
             false => cx.peers.borrow().non_reader_backoff(now),
         };
         self.retry_at = now + pause.mul_f64(jitter);
-        self.backoff = (self.backoff * 2).min(LONGEST_BACKOFF);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 }
 
@@ -292,9 +301,9 @@
 }
 
 /// Reads the accepted changes again after an operator's change conflicted with another one.
-pub(super) async fn read_changes(cx: &Gateway) -> Result<(), StoreError> {
+pub(super) async fn reload_changes(cx: &Gateway) -> Result<(), StoreError> {
     cx.metrics.on_store_call("confirm");
     let update = cx.store.list().await?;
-    take_own(cx, &update.items, false);
+    apply_own_entries(cx, &update.items, false);
     Ok(())
 }
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -10,8 +10,9 @@
 use tokio::sync::Notify;
 
 use super::{
-    GatewayConfig, Rules, accounts::Accounts, claim_keeper::ClaimKeeper, conn::ConnPool,
-    crash_checks::CrashChecks, feed::Answers, fleet, fleet::Fleet, metrics::Metrics,
+    GatewayConfig, Rules, accounts::Accounts, claim_keeper::ClaimRecorder, conn::ConnPool,
+    crash_checks::CrashChecks, feed::ResponseCache, fleet, fleet::AcceptedChanges,
+    metrics::Metrics,
 };
 use crate::{
     clock::Clock,
@@ -63,9 +64,9 @@
     pub(crate) dispatcher: RefCell<Dispatcher>,
     pub(crate) freshness: RefCell<Freshness>,
     pub(crate) peers: RefCell<Peers>,
-    pub(crate) accepted_changes: Fleet,
+    pub(crate) accepted_changes: AcceptedChanges,
     pub(crate) accounts: Accounts,
-    pub(crate) claims: ClaimKeeper,
+    pub(crate) claims: ClaimRecorder,
     pub(crate) crash_checks: CrashChecks,
     pub(crate) explain: ExplainRing,
     pub(crate) rules: Cell<Rules>,
@@ -78,7 +79,7 @@
     pub(crate) mirror: RefCell<StoreMirror>,
     /// Wakes requests of peers that wait for a newer state of the mirror.
     pub(crate) mirror_changed: Notify,
-    pub(super) response_cache: RefCell<Answers>,
+    pub(super) response_cache: RefCell<ResponseCache>,
     /// Instant since which the store has not answered this router; `None` while it answers.
     pub(crate) store_unavailable_since: Cell<Option<Instant>>,
     /// Wakes calls that wait for the first configuration.
@@ -134,9 +135,9 @@
             config_arrived: Notify::new(),
             store_regained_at: Cell::new(None),
             store_confirmed_at: Cell::new(None),
-            accepted_changes: Fleet::default(),
+            accepted_changes: AcceptedChanges::default(),
             accounts: Accounts::default(),
-            claims: ClaimKeeper::new(Rc::clone(&store)),
+            claims: ClaimRecorder::new(Rc::clone(&store)),
             crash_checks: CrashChecks::default(),
             explain: ExplainRing::new(cfg.max_explained_decisions),
             conns: Rc::default(),
@@ -241,7 +242,7 @@
     /// Returns the version of the configuration that the store holds, as far as this router knows.
     pub(crate) fn stored_config(&self) -> Option<ConfigVersion> {
         match self.cfg.uses_operator_config {
-            true => Some(ConfigVersion(fleet::newest_stored(self).0)),
+            true => Some(ConfigVersion(fleet::newest_stored_revision(self).0)),
             false => self.stored_config.get(),
         }
     }
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -9,7 +9,7 @@
 use super::{
     accounts, crash_checks, exchange,
     gateway::Gateway,
-    sums::{Rates, RatesDue, Sums},
+    sums::{EncodedSums, RateReportSchedule, RateReports},
 };
 use crate::{
     admission::account_rates::RateReport,
@@ -49,7 +49,7 @@
 /// Instants at which each kind of state was last sent.
 struct LastSends {
     state: Instant,
-    rates: RatesDue,
+    rates: RateReportSchedule,
     in_start_delay: bool,
     calls_halved: Instant,
     shares: Instant,
@@ -61,7 +61,7 @@
     let now = cx.now();
     let mut last = LastSends {
         state: now,
-        rates: RatesDue::new(now),
+        rates: RateReportSchedule::new(now),
         in_start_delay: true,
         calls_halved: now,
         shares: now,
@@ -127,7 +127,7 @@
 
 /// Sends a datagram to the hubs. If this router aggregates for its data hall, sends the sums to all
 /// routers that need them, with digests of the live routers and rates of the accounts.
-fn send_to_frequent_receivers(cx: &Gateway, udp: &UdpSocket, rates: &Rates) {
+fn send_to_frequent_receivers(cx: &Gateway, udp: &UdpSocket, rates: &RateReports) {
     let now = cx.now();
     let mut outgoing = new_datagram(cx, take_prompt_announcements(cx));
     let (sums, digests) = match cx.is_aggregator.get() {
@@ -136,9 +136,9 @@
             let changes = peers.recent_changes(now);
             outgoing.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
             let digests = peers.hub_digests(now, cx.recent_calls.get());
-            (Sums::of_halls(cx), digests)
+            (EncodedSums::of_halls(cx), digests)
         }
-        false => (Sums::default(), HubDigests::default()),
+        false => (EncodedSums::default(), HubDigests::default()),
     };
     outgoing.load = Some(cx.dispatcher.borrow_mut().load.own_counts());
     for to in cx.peers.borrow().frequent_receivers(now) {
@@ -186,7 +186,7 @@
 
 /// Requests shares of the accounts' limits from the owners of the accounts.
 fn request_shares(cx: &Gateway, udp: &UdpSocket) {
-    for (owner, request) in accounts::asks(cx) {
+    for (owner, request) in accounts::share_requests(cx) {
         send_message(cx, udp, &request, owner);
     }
 }
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -52,8 +52,8 @@
             spawn_local(operators::serve(Rc::clone(&cx), operators));
         }
         spawn_local(peer_calls::serve(Rc::clone(&cx), self.peers));
-        spawn_local(follow::follow_store(Rc::clone(&cx)));
-        spawn_local(prompts::announce(Rc::clone(&cx)));
+        spawn_local(follow::sync_store(Rc::clone(&cx)));
+        spawn_local(prompts::announce_address(Rc::clone(&cx)));
         spawn_local(prompts::save(Rc::clone(&cx)));
         spawn_local(crash_checks::write_quarantined(Rc::clone(&cx)));
         spawn_local(gossip::receive(Rc::clone(&cx), Rc::clone(&udp)));
@@ -109,7 +109,7 @@
         }
         let now = cx.now();
         let removed = cx.dispatcher.borrow_mut().on_tick(now);
-        news::settle(&cx);
+        news::apply_settled_content(&cx);
         crash_checks::on_tick(&cx);
         withdrawals::on_tick(&cx);
         for target in removed {
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -19,17 +19,17 @@
 
 /// Maximum number of targets of one update that are logged individually. Without it, a router that
 /// starts would write a line for each of thousands.
-const TARGETS_NAMED: usize = 200;
+const MAX_TARGETS_LOGGED: usize = 200;
 
 /// Applies an update from the store or from a reader.
-pub(super) fn take_news(cx: &Gateway, update: &StoreUpdate, is_list: bool, from: SocketAddr) {
+pub(super) fn apply_update(cx: &Gateway, update: &StoreUpdate, is_list: bool, from: SocketAddr) {
     let now = cx.now();
     let known = cx.mirror.borrow().revision();
     match update.revision.era {
         // The response was in transit when this router learned of a later store era.
         era if era < known.era => return,
         era if era > known.era && known != StoreRevision::default() => {
-            on_set_back(cx, known, update.revision, from);
+            on_store_reverted(cx, known, update.revision, from);
         }
         _ => {}
     }
@@ -45,7 +45,7 @@
     cx.metrics.store_era.set(known.era.0.cast_signed());
     cx.metrics.store_revision.set(known.number.cast_signed());
     let is_first = !cx.dispatcher.borrow().discovery.is_loaded();
-    let saved = take_own(cx, &update.items, is_list);
+    let saved = apply_own_entries(cx, &update.items, is_list);
     if is_list {
         cx.stored_config.set(None);
     }
@@ -53,7 +53,7 @@
     for item in update.items.iter().filter(|i| own::decode(i).is_none()) {
         let at = item.revision;
         match cx.store.decode(item) {
-            Ok(StoreChange::Config(config)) => apply(cx, *config, from),
+            Ok(StoreChange::Config(config)) => apply_config(cx, *config, from),
             Ok(StoreChange::Target(record)) if is_list => list.push((record, at)),
             Ok(StoreChange::Target(record)) => changes.push((ListChange::Put(record), at)),
             Ok(StoreChange::TargetRemoved(name)) => changes.push((ListChange::Removed(name), at)),
@@ -62,10 +62,10 @@
                 changes.push((ListChange::Unusable(name), at));
             }
             Ok(StoreChange::HallEvacuated(hall)) if is_list => evacuated.push((hall, at)),
-            Ok(StoreChange::HallEvacuated(hall)) => on_hall(cx, now, hall, true, at),
-            Ok(StoreChange::HallEvacuationEnded(hall)) => on_hall(cx, now, hall, false, at),
+            Ok(StoreChange::HallEvacuated(hall)) => on_hall_change(cx, now, hall, true, at),
+            Ok(StoreChange::HallEvacuationEnded(hall)) => on_hall_change(cx, now, hall, false, at),
             Ok(StoreChange::Other) => {}
-            Err(why) => not_understood(cx, item, &why),
+            Err(why) => log_undecodable(cx, item, &why),
         }
     }
     on_changes(cx, now, changes, update.revision);
@@ -83,13 +83,18 @@
         log_targets(cx, &changes, update.revision);
     }
     if let Some(saved) = saved {
-        prompts::recall(cx, saved, is_first);
+        prompts::restore(cx, saved, is_first);
     }
 }
 
 /// Handles a store that was restored from an older copy: lost entries that are known here may be about
 /// to be written again.
-fn on_set_back(cx: &Gateway, known: StoreRevision, revision: StoreRevision, from: SocketAddr) {
+fn on_store_reverted(
+    cx: &Gateway,
+    known: StoreRevision,
+    revision: StoreRevision,
+    from: SocketAddr,
+) {
     info!(cx.log, "store era"; "era" => revision.era.0, "before" => known.era.0,
         "revision" => revision.number, "known" => known.number, "from" => %from);
     cx.claims.on_set_back();
@@ -105,20 +110,24 @@
 
 /// Applies the mirror's whole content once the time is over in which entries lost in a reversion are
 /// written again.
-pub(super) fn settle(cx: &Gateway) {
+pub(super) fn apply_settled_content(cx: &Gateway) {
     let is_settled = {
         let discovery = &mut cx.dispatcher.borrow_mut().discovery;
         discovery.take_settled(cx.now())
     };
     if is_settled {
         let content = cx.mirror.borrow().list();
-        take_news(cx, &content, true, cx.cfg.peers);
+        apply_update(cx, &content, true, cx.cfg.peers);
     }
 }
 
 /// Applies entries that routers wrote. A whole configuration is applied before changes, which build on
 /// it. Returns the saved targets and prompts, which are to be applied after the list of targets.
-pub(super) fn take_own(cx: &Gateway, items: &[StoreItem], is_list: bool) -> Option<prompts::Saved> {
+pub(super) fn apply_own_entries(
+    cx: &Gateway,
+    items: &[StoreItem],
+    is_list: bool,
+) -> Option<prompts::SavedState> {
     let mut changes = Vec::new();
     let mut saved_state = None;
     let own = items.iter().filter_map(|i| own::decode(i).map(|e| (i, e)));
@@ -131,7 +140,7 @@
                 saved_state = Some(prompts::decode(cx, &saved));
             }
             Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.uses_operator_config => {
-                fleet::take_snapshot(cx, *snapshot);
+                fleet::apply_snapshot(cx, *snapshot);
             }
             Ok(OwnEntry::Change(change)) if cx.cfg.uses_operator_config => changes.push(*change),
             Ok(OwnEntry::Quarantined(request)) => {
@@ -150,20 +159,20 @@
                 crash_checks::log_change(cx, request, change, "its store entry was removed");
             }
             Ok(_) => {}
-            Err(why) => not_understood(cx, item, &why),
+            Err(why) => log_undecodable(cx, item, &why),
         }
     }
     for change in changes {
-        fleet::take_change(cx, change);
+        fleet::apply_change(cx, change);
     }
     saved_state
 }
 
-fn not_understood(cx: &Gateway, item: &StoreItem, why: &str) {
+fn log_undecodable(cx: &Gateway, item: &StoreItem, why: &str) {
     warn!(cx.log, "cannot decode store entry"; "key" => &item.key, "why" => why);
 }
 
-fn apply(cx: &Gateway, config: ServingConfig, from: SocketAddr) {
+fn apply_config(cx: &Gateway, config: ServingConfig, from: SocketAddr) {
     let (revision, version, routes) = (config.revision, config.version, config.route_count());
     cx.stored_config.set(Some(version));
     let before = cx.serving();
@@ -198,7 +207,7 @@
 /// Logs the effects of one update on targets: each one, or only their number if there are many. Targets
 /// whose instance ended are always logged.
 fn log_targets(cx: &Gateway, changes: &Changes, at: StoreRevision) {
-    let is_many = changes.len() > TARGETS_NAMED;
+    let is_many = changes.len() > MAX_TARGETS_LOGGED;
     for (id, change) in changes {
         match is_many && !change.ends_instance() {
             true => {}
@@ -218,7 +227,13 @@
     warn!(cx.log, "target entry unusable"; "target" => %name, "why" => why, "revision" => at.number);
 }
 
-fn on_hall(cx: &Gateway, now: Instant, hall: DataHall, is_evacuated: bool, at: StoreRevision) {
+fn on_hall_change(
+    cx: &Gateway,
+    now: Instant,
+    hall: DataHall,
+    is_evacuated: bool,
+    at: StoreRevision,
+) {
     let changed = {
         let discovery = &mut cx.dispatcher.borrow_mut().discovery;
         discovery.on_hall_change(now, hall.clone(), is_evacuated, at)
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -19,7 +19,7 @@
 use super::{
     body::AnswerBody,
     conn::CONNECT_TIMEOUT,
-    feed::{self, ASK_WAIT, Proof},
+    feed::{self, MAX_HOLD_TIME, Proof},
     fleet,
     gateway::Gateway,
 };
@@ -31,28 +31,28 @@
 };
 
 /// Pause after a connection that could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(40);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
 /// Maximum time of a response beyond the requested wait.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Maximum time of a response with a whole list beyond the requested wait: one of ten thousand entries,
 /// over a link that some dozens of routers share.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Response header with the proof of the configuration.
-const PROOF: &str = "scaleford-proof";
+const PROOF_HEADER: &str = "scaleford-proof";
 
 /// Maximum time that the owner of a claim's shard may take to record a step: a write of the shard waits
 /// for the previous one, and a slow store answers within this time.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Maximum body size of a claim step, in bytes; a step takes about sixty.
-const BODY_LIMIT: usize = 4 << 10;
+const MAX_CLAIM_BODY_BYTES: usize = 4 << 10;
 
 /// A request to another router.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Ask {
+enum PeerRequest {
     /// `GET /store/ERA.NUMBER/MS`: returns changes after the revision, or nothing after `MS` milliseconds.
     Store(StoreRevision, Duration),
     /// `POST /claim`: records a step of a claim.
@@ -63,7 +63,7 @@
     Change,
 }
 
-impl Ask {
+impl PeerRequest {
     fn read(method: &Method, path: &str) -> Option<Self> {
         let mut parts = path.trim_start_matches('/').splitn(2, '/');
         match (method, parts.next()?, parts.next()) {
@@ -71,7 +71,7 @@
                 let (after, wait) = query.split_once('/')?;
                 let wait = Duration::from_millis(wait.parse().ok()?);
                 let after = after.parse().ok()?;
-                Some(Self::Store(after, wait.min(ASK_WAIT)))
+                Some(Self::Store(after, wait.min(MAX_HOLD_TIME)))
             }
             (&Method::POST, "claim", None) => Some(Self::Claim),
             (&Method::POST, "change", None) => Some(Self::Change),
@@ -98,7 +98,7 @@
 }
 
 /// Maximum size of a change, in bytes: as much as an operator may send.
-const CHANGE_LIMIT: usize = 4 << 20;
+const MAX_CHANGE_BYTES: usize = 4 << 20;
 
 type Sender = client::conn::http1::SendRequest<Full<Bytes>>;
 
@@ -143,26 +143,26 @@
             + if is_list {
                 LIST_TIMEOUT
             } else {
-                ANSWER_TIMEOUT
+                RESPONSE_TIMEOUT
             };
-        let request = Ask::Store(after, wait);
-        let (body, proof) = self.call_proven(request, Bytes::new(), timeout).await?;
+        let request = PeerRequest::Store(after, wait);
+        let (body, proof) = self.call_with_proof(request, Bytes::new(), timeout).await?;
         Ok((feed::decode(&body)?, proof))
     }
 
     async fn call(
         &self,
-        request: Ask,
+        request: PeerRequest,
         body: Bytes,
         timeout: Duration,
     ) -> Result<Bytes, StoreError> {
-        let response = self.call_proven(request, body, timeout).await;
+        let response = self.call_with_proof(request, body, timeout).await;
         response.map(|(body, _)| body)
     }
 
-    async fn call_proven(
+    async fn call_with_proof(
         &self,
-        request: Ask,
+        request: PeerRequest,
         body: Bytes,
         timeout: Duration,
     ) -> Result<(Bytes, Option<Proof>), StoreError> {
@@ -176,7 +176,10 @@
         let response = async {
             let res = sent.await.map_err(no_answer)?;
             let status = res.status();
-            let proof = res.headers().get(PROOF).map(|p| read_proof(p.as_bytes()));
+            let proof = res
+                .headers()
+                .get(PROOF_HEADER)
+                .map(|p| parse_proof(p.as_bytes()));
             let body = res.into_body().collect().await.map_err(no_answer)?;
             match status {
                 StatusCode::OK => Ok((body.to_bytes(), proof.transpose()?)),
@@ -188,12 +191,12 @@
     }
 }
 
-fn read_proof(value: &[u8]) -> Result<Proof, StoreError> {
+fn parse_proof(value: &[u8]) -> Result<Proof, StoreError> {
     serde_json::from_slice(value).map_err(garbled)
 }
 
 /// Sends a step to the owner of the claim's shard, which records it.
-pub(super) async fn claim(
+pub(super) async fn send_claim_step(
     cx: &Gateway,
     owner: SocketAddr,
     step: ClaimStep,
@@ -201,25 +204,27 @@
     let body = postcard::to_stdvec(&step).map_err(garbled)?;
     let conn = PeerConn::open(owner).await?;
     cx.metrics.claim_bytes.inc_by(body.len() as u64);
-    let response = conn.call(Ask::Claim, body.into(), CLAIM_TIMEOUT).await?;
+    let response = conn
+        .call(PeerRequest::Claim, body.into(), CLAIM_TIMEOUT)
+        .await?;
     postcard::from_bytes(&response).map_err(garbled)
 }
 
 /// Sends an accepted change to another router, as JSON.
-pub(super) async fn change(peer: SocketAddr, body: Bytes) -> Result<(), StoreError> {
+pub(super) async fn send_change(peer: SocketAddr, body: Bytes) -> Result<(), StoreError> {
     let conn = PeerConn::open(peer).await?;
-    let response = conn.call(Ask::Change, body, ANSWER_TIMEOUT).await;
+    let response = conn.call(PeerRequest::Change, body, RESPONSE_TIMEOUT).await;
     response.map(|_| ())
 }
 
 /// Requests the decisions on a call that another router has recorded.
-pub(super) async fn explain(
+pub(super) async fn fetch_decisions(
     address: SocketAddr,
     id: &str,
 ) -> Result<Vec<DecisionRecord>, StoreError> {
     let conn = PeerConn::open(address).await?;
-    let request = Ask::Explain(id.to_owned());
-    let response = conn.call(request, Bytes::new(), ANSWER_TIMEOUT).await?;
+    let request = PeerRequest::Explain(id.to_owned());
+    let response = conn.call(request, Bytes::new(), RESPONSE_TIMEOUT).await?;
     serde_json::from_slice(&response).map_err(garbled)
 }
 
@@ -235,7 +240,7 @@
 pub(super) async fn serve(cx: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_AGAIN).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let cx = Rc::clone(&cx);
@@ -254,17 +259,17 @@
 
 async fn answer(cx: &Gateway, req: Request<Incoming>) -> Response<AnswerBody> {
     let mut proof = None;
-    let result = match Ask::read(req.method(), req.uri().path()) {
-        Some(Ask::Store(after, wait)) => match feed::newer(cx, after, wait).await {
+    let result = match PeerRequest::read(req.method(), req.uri().path()) {
+        Some(PeerRequest::Store(after, wait)) => match feed::changes_after(cx, after, wait).await {
             Ok((body, response_proof)) => {
                 proof = response_proof;
                 Ok(body)
             }
             Err(e) => Err(e),
         },
-        Some(Ask::Claim) => on_claim(cx, req).await.map(Bytes::from),
-        Some(Ask::Change) => on_change(cx, req).await.map(Bytes::from),
-        Some(Ask::Explain(id)) => {
+        Some(PeerRequest::Claim) => on_claim(cx, req).await.map(Bytes::from),
+        Some(PeerRequest::Change) => on_change(cx, req).await.map(Bytes::from),
+        Some(PeerRequest::Explain(id)) => {
             let records = cx.explain.decisions_on(&cx.cfg.vm, &id);
             serde_json::to_vec(&records)
                 .map(Bytes::from)
@@ -273,7 +278,7 @@
         None => Err(garbled("unknown request")),
     };
     match result {
-        Ok(bytes) => proven(Response::new(AnswerBody::whole(bytes)), proof),
+        Ok(bytes) => with_proof(Response::new(AnswerBody::whole(bytes)), proof),
         Err(e) => {
             let mut res = Response::new(AnswerBody::whole(e.to_string()));
             *res.status_mut() = StatusCode::BAD_REQUEST;
@@ -283,26 +288,30 @@
 }
 
 /// Adds the proof of the configuration to a response; a proof that cannot be encoded is left out.
-fn proven(mut res: Response<AnswerBody>, proof: Option<Proof>) -> Response<AnswerBody> {
+fn with_proof(mut res: Response<AnswerBody>, proof: Option<Proof>) -> Response<AnswerBody> {
     let proof = proof.and_then(|p| serde_json::to_string(&p).ok());
     let proof = proof.and_then(|p| HeaderValue::from_str(&p).ok());
     if let Some(proof) = proof {
-        res.headers_mut().insert(PROOF, proof);
+        res.headers_mut().insert(PROOF_HEADER, proof);
     }
     res
 }
 
 async fn on_change(cx: &Gateway, req: Request<Incoming>) -> Result<Vec<u8>, StoreError> {
-    let body = Limited::new(req.into_body(), CHANGE_LIMIT).collect().await;
+    let body = Limited::new(req.into_body(), MAX_CHANGE_BYTES)
+        .collect()
+        .await;
     let change = serde_json::from_slice(&body.map_err(garbled)?.to_bytes()).map_err(garbled)?;
     if cx.cfg.uses_operator_config {
-        fleet::take_change(cx, change);
+        fleet::apply_change(cx, change);
     }
     Ok(Vec::new())
 }
 
 async fn on_claim(cx: &Gateway, req: Request<Incoming>) -> Result<Vec<u8>, StoreError> {
-    let body = Limited::new(req.into_body(), BODY_LIMIT).collect().await;
+    let body = Limited::new(req.into_body(), MAX_CLAIM_BODY_BYTES)
+        .collect()
+        .await;
     let step = postcard::from_bytes(&body.map_err(garbled)?.to_bytes()).map_err(garbled)?;
     let verdict = cx.claims.step(step).await;
     postcard::to_stdvec(&verdict).map_err(garbled)
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -18,24 +18,24 @@
 
 /// Time after its start for which a router waits for another one before it writes its address to the
 /// store.
-const FIRST_ANNOUNCE: Duration = Duration::from_secs(1);
+const FIRST_ANNOUNCE_DELAY: Duration = Duration::from_secs(1);
 
 /// Interval between further writes of the address while it knows no other router.
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(8);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(8);
 
 /// Interval at which the prompts that targets have read are saved, if they changed.
 ///
 /// Prompts read between the last save and the loss of all routers have to be read again. A shorter
 /// interval costs more, as each write wakes the readers' watches.
-const SAVE_EVERY: Duration = Duration::from_secs(2);
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Maximum size of the saved state, in bytes. Encoded in base64, it is well below the largest value
 /// that the stores of the users' sites accept.
-const SAVED_LIMIT: usize = 512 << 10;
+const MAX_SAVED_BYTES: usize = 512 << 10;
 
 /// The saved state.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(super) struct Saved {
+pub(super) struct SavedState {
     /// Shared parts of prompts, with the targets that have read them.
     prompts: PromptSnapshot,
     /// The targets in the list.
@@ -45,10 +45,10 @@
 }
 
 /// Decodes the saved state; returns an empty one if another version saved it.
-pub(super) fn decode(cx: &Gateway, saved: &[u8]) -> Saved {
+pub(super) fn decode(cx: &Gateway, saved: &[u8]) -> SavedState {
     postcard::from_bytes(saved).unwrap_or_else(|e| {
         warn!(cx.log, "cannot decode saved prompts"; "why" => %e);
-        Saved::default()
+        SavedState::default()
     })
 }
 
@@ -57,7 +57,7 @@
 /// `is_first` is set for the first list since this router started: only then are saved targets
 /// restored, as the router does not know those whose entries expired before its start. The operators'
 /// own configuration defines its targets itself, so none are restored with it.
-pub(super) fn recall(cx: &Gateway, saved: Saved, is_first: bool) {
+pub(super) fn restore(cx: &Gateway, saved: SavedState, is_first: bool) {
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
     let expired = match is_first && !cx.cfg.uses_operator_config {
@@ -79,7 +79,7 @@
 /// Saves periodically which prompts the targets have read; one router does so for the whole fleet.
 pub(super) async fn save(cx: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(SAVE_EVERY).await;
+        tokio::time::sleep(SAVE_INTERVAL).await;
         let is_owner = cx.peers.borrow().is_owner_of(cx.now(), "prompts");
         let changed = cx.dispatcher.borrow_mut().cache.take_unsaved();
         if !is_owner || !changed {
@@ -87,7 +87,9 @@
         }
         let state = snapshot(&cx);
         let result = match postcard::to_stdvec(&state) {
-            Ok(bytes) if bytes.len() <= SAVED_LIMIT => cx.store.put(own::PROMPTS_KEY, bytes).await,
+            Ok(bytes) if bytes.len() <= MAX_SAVED_BYTES => {
+                cx.store.put(own::PROMPTS_KEY, bytes).await
+            }
             Ok(bytes) => Err(StoreError::InvalidResponse(format!(
                 "{} bytes exceed the size limit of the saved prompts",
                 bytes.len()
@@ -101,11 +103,11 @@
     }
 }
 
-fn snapshot(cx: &Gateway) -> Saved {
+fn snapshot(cx: &Gateway) -> SavedState {
     let dispatcher = cx.dispatcher.borrow();
     let has_read = |id: &TargetId| dispatcher.cache.cached_tokens(id).0 > 0;
     let held = dispatcher.admission.mean_slot_times();
-    Saved {
+    SavedState {
         prompts: PromptSnapshot::new(&dispatcher.cache.shared_parts()),
         targets: dispatcher.discovery.targets_to_save(has_read),
         held: held.map(|(s, held)| (s.clone(), held)).collect(),
@@ -113,12 +115,12 @@
 }
 
 /// Writes the address at which peers reach this router to the store as long as it knows no peer.
-pub(super) async fn announce(cx: Rc<Gateway>) {
-    let mut pause = FIRST_ANNOUNCE;
+pub(super) async fn announce_address(cx: Rc<Gateway>) {
+    let mut pause = FIRST_ANNOUNCE_DELAY;
     loop {
         let jitter = rand::rng().random_range(0.5..1.0);
         tokio::time::sleep(pause.mul_f64(jitter)).await;
-        pause = ANNOUNCE_EVERY;
+        pause = ANNOUNCE_INTERVAL;
         if cx.peers.borrow().live_count(cx.now()) > 1 {
             continue;
         }
--- a/src/edge/sums.rs
+++ b/src/edge/sums.rs
@@ -14,14 +14,14 @@
 
 /// Encoded sums of call counts, shared by all receivers.
 #[derive(Default)]
-pub(super) struct Sums {
+pub(super) struct EncodedSums {
     /// Sums of all data halls, for the routers of this data hall.
     pub(super) all: Vec<u8>,
     /// Sum of this data hall, for the hubs of the others.
     pub(super) own: Vec<u8>,
 }
 
-impl Sums {
+impl EncodedSums {
     /// Encodes the counts of calls in progress that this router knows.
     pub(super) fn of_halls(cx: &Gateway) -> Self {
         let now = cx.now();
@@ -42,7 +42,7 @@
 
 /// Account rates to report.
 #[derive(Default)]
-pub(super) struct Rates {
+pub(super) struct RateReports {
     /// Rates of this router's own calls.
     pub(super) own: Vec<RateReport>,
     /// Rates of data halls, if this router aggregates them.
@@ -50,18 +50,18 @@
 }
 
 /// Time of the last report of account rates.
-pub(super) struct RatesDue(Instant);
+pub(super) struct RateReportSchedule(Instant);
 
-impl RatesDue {
+impl RateReportSchedule {
     /// Creates a schedule whose first report is due one interval after `now`.
     pub(super) fn new(now: Instant) -> Self {
         Self(now)
     }
 
     /// Returns the rates if they are due, or else empty ones.
-    pub(super) fn take(&mut self, cx: &Gateway, now: Instant) -> Rates {
+    pub(super) fn take(&mut self, cx: &Gateway, now: Instant) -> RateReports {
         if now.since(self.0) < RATE_REPORT_INTERVAL {
-            return Rates::default();
+            return RateReports::default();
         }
         self.0 = now;
         let admission = &cx.dispatcher.borrow().admission;
@@ -69,7 +69,7 @@
             true => admission.hall_rates(now, &cx.cfg.data_hall),
             false => HallRates::default(),
         };
-        Rates {
+        RateReports {
             own: vec![admission.own_rates(now)],
             halls,
         }
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -197,7 +197,9 @@
 /// Returns the decisions on a call that are recorded at all routers that answer.
 pub(super) async fn explain(cx: &Rc<Gateway>, id: &str) -> Response<AnswerBody> {
     let peers = cx.peers.borrow().addresses(cx.now());
-    let requests = peers.iter().map(|peer| peer_calls::explain(*peer, id));
+    let requests = peers
+        .iter()
+        .map(|peer| peer_calls::fetch_decisions(*peer, id));
     let mut decisions = cx.explain.decisions_on(&cx.cfg.vm, id);
     for (peer, response) in peers.iter().zip(join_all(requests).await) {
         match response {
