--- a/src/edge/claim_keeper.rs
+++ b/src/edge/claim_keeper.rs
@@ -67,7 +67,7 @@
     }
 
     /// Handles a reverted store: steps recorded in the shards of this router are written again.
-    pub(crate) fn on_set_back(&self) {
+    pub(crate) fn on_store_reverted(&self) {
         for queue in self.shards.borrow().values() {
             // A full queue holds steps to record, and recording them also recovers the shard.
             let _ = queue.try_send(Job::Recover);
@@ -169,7 +169,7 @@
     let swap = match store.swap(&key, expected, value.clone()).await {
         Ok(swap) => swap,
         Err(StoreError::Reverted) => SwapResult::Conflict,
-        Err(_) => settle(store, &key, &value).await?,
+        Err(_) => resolve_lost_response(store, &key, &value).await?,
     };
     match swap {
         SwapResult::Conflict => {
@@ -189,7 +189,11 @@
 ///
 /// A write that has not taken effect may still be in transit, so it is never reported as not written,
 /// but as a conflict: the batch is decided again and competes with that write for the same key.
-async fn settle(store: &dyn MetaStore, key: &str, value: &[u8]) -> Result<SwapResult, StoreError> {
+async fn resolve_lost_response(
+    store: &dyn MetaStore,
+    key: &str,
+    value: &[u8],
+) -> Result<SwapResult, StoreError> {
     match store.get(key).await? {
         Some(entry) if entry.value == value => Ok(SwapResult::Done(entry.revision)),
         _ => Ok(SwapResult::Conflict),
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -23,7 +23,7 @@
 };
 
 /// Maximum number of revisions that a confirmation tries to take, if other changes take them first.
-const TRIES: u32 = 16;
+const MAX_REVISION_ATTEMPTS: u32 = 16;
 
 /// Pause before a write with an unknown outcome is tried again.
 const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -53,7 +53,7 @@
 
 /// Makes a plan's change the next accepted change, exactly once.
 pub(super) async fn confirm(cx: &Rc<Gateway>, plan: &Plan) -> Result<Accepted, IntentError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_REVISION_ATTEMPTS {
         if let Some(accepted) = accepted_before(cx, &plan.id) {
             return Ok(accepted);
         }
--- a/src/edge/follow.rs
+++ b/src/edge/follow.rs
@@ -113,7 +113,7 @@
                     MAX_HOLD_TIME
                 };
                 tokio::select! {
-                    response = upstream.newer(after, wait) => {
+                    response = upstream.request_changes(after, wait) => {
                         self.upstream = Some(upstream);
                         response
                     }
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -145,9 +145,13 @@
         outgoing.echo = to.echo;
         let is_own_hall = to.hall.as_ref() == Some(&cx.cfg.data_hall);
         let (halls, digests, of_halls) = match is_own_hall {
-            true => (&sums.all, &digests.for_own_hall, &rates.halls.for_own_hall),
+            true => (
+                &sums.for_own_hall,
+                &digests.for_own_hall,
+                &rates.halls.for_own_hall,
+            ),
             false => (
-                &sums.own,
+                &sums.for_other_halls,
                 &digests.for_other_halls,
                 &rates.halls.for_other_halls,
             ),
--- a/src/edge/news.rs
+++ b/src/edge/news.rs
@@ -97,7 +97,7 @@
 ) {
     info!(cx.log, "store era"; "era" => revision.era.0, "before" => known.era.0,
         "revision" => revision.number, "known" => known.number, "from" => %from);
-    cx.claims.on_set_back();
+    cx.claims.on_store_reverted();
     let settled_at = cx.now() + RETURN_GRACE;
     cx.freshness.borrow_mut().on_store_reverted(settled_at);
     let mut dispatcher = cx.dispatcher.borrow_mut();
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -64,7 +64,7 @@
 }
 
 impl PeerRequest {
-    fn read(method: &Method, path: &str) -> Option<Self> {
+    fn parse(method: &Method, path: &str) -> Option<Self> {
         let mut parts = path.trim_start_matches('/').splitn(2, '/');
         match (method, parts.next()?, parts.next()) {
             (&Method::GET, "store", Some(query)) => {
@@ -133,7 +133,7 @@
 
     /// Requests changes after a revision and waits up to `wait` for them; also returns the response's proof
     /// of the configuration.
-    pub(super) async fn newer(
+    pub(super) async fn request_changes(
         &self,
         after: StoreRevision,
         wait: Duration,
@@ -171,7 +171,7 @@
             .uri(request.path())
             .header(hyper::header::HOST, "router")
             .body(Full::new(body))
-            .map_err(garbled)?;
+            .map_err(invalid_response)?;
         let sent = self.sender.borrow_mut().send_request(req);
         let response = async {
             let res = sent.await.map_err(no_answer)?;
@@ -192,7 +192,7 @@
 }
 
 fn parse_proof(value: &[u8]) -> Result<Proof, StoreError> {
-    serde_json::from_slice(value).map_err(garbled)
+    serde_json::from_slice(value).map_err(invalid_response)
 }
 
 /// Sends a step to the owner of the claim's shard, which records it.
@@ -201,13 +201,13 @@
     owner: SocketAddr,
     step: ClaimStep,
 ) -> Result<ClaimVerdict, StoreError> {
-    let body = postcard::to_stdvec(&step).map_err(garbled)?;
+    let body = postcard::to_stdvec(&step).map_err(invalid_response)?;
     let conn = PeerConn::open(owner).await?;
     cx.metrics.claim_bytes.inc_by(body.len() as u64);
     let response = conn
         .call(PeerRequest::Claim, body.into(), CLAIM_TIMEOUT)
         .await?;
-    postcard::from_bytes(&response).map_err(garbled)
+    postcard::from_bytes(&response).map_err(invalid_response)
 }
 
 /// Sends an accepted change to another router, as JSON.
@@ -225,14 +225,14 @@
     let conn = PeerConn::open(address).await?;
     let request = PeerRequest::Explain(id.to_owned());
     let response = conn.call(request, Bytes::new(), RESPONSE_TIMEOUT).await?;
-    serde_json::from_slice(&response).map_err(garbled)
+    serde_json::from_slice(&response).map_err(invalid_response)
 }
 
 fn no_answer(e: impl std::fmt::Display) -> StoreError {
     StoreError::NoAnswer(e.to_string())
 }
 
-fn garbled(e: impl std::fmt::Display) -> StoreError {
+fn invalid_response(e: impl std::fmt::Display) -> StoreError {
     StoreError::InvalidResponse(e.to_string())
 }
 
@@ -247,7 +247,7 @@
         tokio::task::spawn_local(async move {
             let service = service_fn(move |req: Request<Incoming>| {
                 let cx = Rc::clone(&cx);
-                async move { Ok::<_, Infallible>(answer(&cx, req).await) }
+                async move { Ok::<_, Infallible>(respond(&cx, req).await) }
             });
             // A router that disconnected needs no response.
             let _ = server::conn::http1::Builder::new()
@@ -257,9 +257,9 @@
     }
 }
 
-async fn answer(cx: &Gateway, req: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond(cx: &Gateway, req: Request<Incoming>) -> Response<AnswerBody> {
     let mut proof = None;
-    let result = match PeerRequest::read(req.method(), req.uri().path()) {
+    let result = match PeerRequest::parse(req.method(), req.uri().path()) {
         Some(PeerRequest::Store(after, wait)) => match feed::changes_after(cx, after, wait).await {
             Ok((body, response_proof)) => {
                 proof = response_proof;
@@ -273,9 +273,9 @@
             let records = cx.explain.decisions_on(&cx.cfg.vm, &id);
             serde_json::to_vec(&records)
                 .map(Bytes::from)
-                .map_err(garbled)
+                .map_err(invalid_response)
         }
-        None => Err(garbled("unknown request")),
+        None => Err(invalid_response("unknown request")),
     };
     match result {
         Ok(bytes) => with_proof(Response::new(AnswerBody::whole(bytes)), proof),
@@ -301,7 +301,8 @@
     let body = Limited::new(req.into_body(), MAX_CHANGE_BYTES)
         .collect()
         .await;
-    let change = serde_json::from_slice(&body.map_err(garbled)?.to_bytes()).map_err(garbled)?;
+    let change = serde_json::from_slice(&body.map_err(invalid_response)?.to_bytes())
+        .map_err(invalid_response)?;
     if cx.cfg.uses_operator_config {
         fleet::apply_change(cx, change);
     }
@@ -312,7 +313,8 @@
     let body = Limited::new(req.into_body(), MAX_CLAIM_BODY_BYTES)
         .collect()
         .await;
-    let step = postcard::from_bytes(&body.map_err(garbled)?.to_bytes()).map_err(garbled)?;
+    let step = postcard::from_bytes(&body.map_err(invalid_response)?.to_bytes())
+        .map_err(invalid_response)?;
     let verdict = cx.claims.step(step).await;
-    postcard::to_stdvec(&verdict).map_err(garbled)
+    postcard::to_stdvec(&verdict).map_err(invalid_response)
 }
--- a/src/edge/prompts.rs
+++ b/src/edge/prompts.rs
@@ -41,7 +41,7 @@
     /// The targets in the list.
     targets: Vec<TargetRecord>,
     /// Mean time for which a call occupies a slot, by service.
-    held: Vec<(ServiceName, Duration)>,
+    slot_times: Vec<(ServiceName, Duration)>,
 }
 
 /// Decodes the saved state; returns an empty one if another version saved it.
@@ -64,7 +64,7 @@
         true => dispatcher.discovery.on_saved_targets(now, saved.targets),
         false => Vec::new(),
     };
-    for (service, slot_time) in &saved.held {
+    for (service, slot_time) in &saved.slot_times {
         dispatcher
             .admission
             .on_restored_slot_time(service, *slot_time);
@@ -110,7 +110,7 @@
     SavedState {
         prompts: PromptSnapshot::new(&dispatcher.cache.shared_parts()),
         targets: dispatcher.discovery.targets_to_save(has_read),
-        held: held.map(|(s, held)| (s.clone(), held)).collect(),
+        slot_times: held.map(|(s, held)| (s.clone(), held)).collect(),
     }
 }
 
--- a/src/edge/sums.rs
+++ b/src/edge/sums.rs
@@ -16,9 +16,9 @@
 #[derive(Default)]
 pub(super) struct EncodedSums {
     /// Sums of all data halls, for the routers of this data hall.
-    pub(super) all: Vec<u8>,
+    pub(super) for_own_hall: Vec<u8>,
     /// Sum of this data hall, for the hubs of the others.
-    pub(super) own: Vec<u8>,
+    pub(super) for_other_halls: Vec<u8>,
 }
 
 impl EncodedSums {
@@ -34,8 +34,8 @@
             }
         };
         Self {
-            all: encode(&dispatcher.load.all_hall_sums(now)),
-            own: encode(&vec![dispatcher.load.own_hall_sum(now)]),
+            for_own_hall: encode(&dispatcher.load.all_hall_sums(now)),
+            for_other_halls: encode(&vec![dispatcher.load.own_hall_sum(now)]),
         }
     }
 }
