--- a/src/edge/fleet.rs
+++ b/src/edge/accepted_changes.rs
@@ -93,10 +93,10 @@
         (halls, discovery.on_configured_list(now, targets, at))
     };
     for hall in halls {
-        super::news::log_hall(cx, &hall, at);
+        super::store_updates::log_hall(cx, &hall, at);
     }
     for (id, change) in changes {
-        super::news::log_target(cx, &id, change, at);
+        super::store_updates::log_target(cx, &id, change, at);
     }
     info!(cx.log, "config"; "revision" => revision.0, "applied" => applied);
 }
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -7,9 +7,9 @@
 use slog::{info, warn};
 
 use super::{
-    fleet::{self, apply_change},
-    follow::reload_changes,
+    accepted_changes::{self, apply_change},
     gateway::Gateway,
+    store_sync::reload_changes,
 };
 use crate::{
     config::{Change, ChangeOutcome},
@@ -126,7 +126,7 @@
     };
     info!(cx.log, "change accepted"; "id" => %change.id, "revision" => change.revision.0,
         "author" => &change.author, "reason" => &change.reason);
-    fleet::spread(cx, &change);
+    accepted_changes::spread(cx, &change);
     let revision = change.revision.0;
     if apply_change(cx, change) == ChangeOutcome::Applied
         && revision.is_multiple_of(CHANGES_PER_SNAPSHOT)
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::{fleet, gateway::Gateway};
+use super::{accepted_changes, gateway::Gateway};
 use crate::{
     config::freshness::PeerConfirmation,
     store::{MirrorReply, StoreError},
@@ -134,7 +134,7 @@
 
 fn encoded_response(cx: &Gateway, after: StoreRevision) -> Result<Bytes, StoreError> {
     let revision = cx.mirror.borrow().revision();
-    let unseen = fleet::unstored_entries(cx, revision);
+    let unseen = accepted_changes::unstored_entries(cx, revision);
     let mut cache = cx.response_cache.borrow_mut();
     let is_same = |a: &&CachedResponse| a.after == after && a.revision == revision;
     // Changes that have not been read back from the store yet are not part of a revision, so a response
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -10,8 +10,8 @@
 use tokio::sync::Notify;
 
 use super::{
-    GatewayConfig, Rules, accounts::Accounts, claim_keeper::ClaimRecorder, conn::ConnPool,
-    crash_checks::CrashChecks, feed::ResponseCache, fleet, fleet::AcceptedChanges,
+    GatewayConfig, Rules, accepted_changes, accepted_changes::AcceptedChanges, accounts::Accounts,
+    claim_recorder::ClaimRecorder, conn::ConnPool, crash_checks::CrashChecks, feed::ResponseCache,
     metrics::Metrics,
 };
 use crate::{
@@ -242,7 +242,9 @@
     /// Returns the version of the configuration that the store holds, as far as this router knows.
     pub(crate) fn stored_config(&self) -> Option<ConfigVersion> {
         match self.cfg.uses_operator_config {
-            true => Some(ConfigVersion(fleet::newest_stored_revision(self).0)),
+            true => Some(ConfigVersion(
+                accepted_changes::newest_stored_revision(self).0,
+            )),
             false => self.stored_config.get(),
         }
     }
--- a/src/edge/listening.rs
+++ b/src/edge/listening.rs
@@ -9,11 +9,11 @@
 };
 
 use super::{
-    StopReport, crash_checks, exchange, follow,
+    StopReport, crash_checks, exchange,
     gateway::{Gateway, GatewayParts},
-    gossip, ingress, news, operators, peer_calls, prompts, stop,
+    gossip, ingress, operators, peer_calls, saved_state, stop,
     stop::Signals,
-    withdrawals,
+    store_sync, store_updates, withdrawals,
 };
 use crate::{Error, Result};
 
@@ -52,9 +52,9 @@
             spawn_local(operators::serve(Rc::clone(&cx), operators));
         }
         spawn_local(peer_calls::serve(Rc::clone(&cx), self.peers));
-        spawn_local(follow::sync_store(Rc::clone(&cx)));
-        spawn_local(prompts::announce_address(Rc::clone(&cx)));
-        spawn_local(prompts::save(Rc::clone(&cx)));
+        spawn_local(store_sync::sync_store(Rc::clone(&cx)));
+        spawn_local(saved_state::announce_address(Rc::clone(&cx)));
+        spawn_local(saved_state::save(Rc::clone(&cx)));
         spawn_local(crash_checks::write_quarantined(Rc::clone(&cx)));
         spawn_local(gossip::receive(Rc::clone(&cx), Rc::clone(&udp)));
         spawn_local(gossip::send_updates(Rc::clone(&cx), Rc::clone(&udp)));
@@ -109,7 +109,7 @@
         }
         let now = cx.now();
         let removed = cx.dispatcher.borrow_mut().on_tick(now);
-        news::apply_settled_content(&cx);
+        store_updates::apply_settled_content(&cx);
         crash_checks::on_tick(&cx);
         withdrawals::on_tick(&cx);
         for target in removed {
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -3,6 +3,7 @@
 //! Everything runs on one thread. Decisions are made by synchronous types (`dispatcher`, `freshness`,
 //! `peers`, `config`, `claims`, `limits`); the modules here do the input and output around them.
 
+mod accepted_changes;
 mod accounts;
 mod admission;
 mod attempt;
@@ -11,25 +12,24 @@
 mod body;
 mod call;
 mod call_end;
-mod claim_keeper;
+mod claim_recorder;
 mod claimed_calls;
 mod confirm;
 mod conn;
 mod crash_checks;
 mod exchange;
 mod feed;
-mod fleet;
-mod follow;
 mod gateway;
 mod gossip;
 mod ingress;
 mod listening;
 mod metrics;
-mod news;
 mod operators;
 mod peer_calls;
-mod prompts;
+mod saved_state;
 mod stop;
+mod store_sync;
+mod store_updates;
 mod stream;
 mod sums;
 mod view;
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -17,10 +17,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::{
+    accepted_changes,
     body::AnswerBody,
     conn::CONNECT_TIMEOUT,
     feed::{self, MAX_HOLD_TIME, Proof},
-    fleet,
     gateway::Gateway,
 };
 use crate::{
@@ -304,7 +304,7 @@
     let change = serde_json::from_slice(&body.map_err(invalid_response)?.to_bytes())
         .map_err(invalid_response)?;
     if cx.cfg.uses_operator_config {
-        fleet::apply_change(cx, change);
+        accepted_changes::apply_change(cx, change);
     }
     Ok(Vec::new())
 }
--- a/src/edge/follow.rs
+++ b/src/edge/store_sync.rs
@@ -11,11 +11,11 @@
 use slog::{info, warn};
 
 use super::{
+    accepted_changes,
     feed::{MAX_FEEDER_HOLD_TIME, MAX_HOLD_TIME, Proof},
-    fleet,
     gateway::Gateway,
-    news::{apply_own_entries, apply_update},
     peer_calls::PeerConn,
+    store_updates::{apply_own_entries, apply_update},
 };
 use crate::{
     config::Change,
@@ -194,7 +194,7 @@
         let sent = self.cx.now();
         let after = self.cx.mirror.borrow().revision();
         let unseen = match self.cx.cfg.uses_operator_config {
-            true => fleet::unstored_changes(&self.cx),
+            true => accepted_changes::unstored_changes(&self.cx),
             false => Vec::new(),
         };
         let unseen: Vec<Revision> = unseen.iter().map(|c| c.revision).collect();
@@ -254,9 +254,9 @@
         let is_lost = |change: &Arc<Change>| unseen.contains(&change.revision);
         if is_list || is_empty {
             // A change that was in force before the call was sent would be part of the response.
-            let mut lost = fleet::unstored_changes(cx);
+            let mut lost = accepted_changes::unstored_changes(cx);
             lost.retain(is_lost);
-            fleet::restore_lost_changes(cx, lost).await;
+            accepted_changes::restore_lost_changes(cx, lost).await;
         }
         let confirmed_at = match now.since(sent) {
             // A watch that returned nothing confirms that no change was made before its wait ended.
--- a/src/edge/news.rs
+++ b/src/edge/store_updates.rs
@@ -5,7 +5,7 @@
 
 use slog::{info, warn};
 
-use super::{crash_checks, fleet, gateway::Gateway, prompts};
+use super::{accepted_changes, crash_checks, gateway::Gateway, saved_state};
 use crate::{
     config::serving::ServingConfig,
     discovery::{Changes, ListChange, RETURN_GRACE, TargetChange},
@@ -83,7 +83,7 @@
         log_targets(cx, &changes, update.revision);
     }
     if let Some(saved) = saved {
-        prompts::restore(cx, saved, is_first);
+        saved_state::restore(cx, saved, is_first);
     }
 }
 
@@ -127,7 +127,7 @@
     cx: &Gateway,
     items: &[StoreItem],
     is_list: bool,
-) -> Option<prompts::SavedState> {
+) -> Option<saved_state::SavedState> {
     let mut changes = Vec::new();
     let mut saved_state = None;
     let own = items.iter().filter_map(|i| own::decode(i).map(|e| (i, e)));
@@ -137,10 +137,10 @@
                 cx.peers.borrow_mut().add_address(cx.now(), address);
             }
             Ok(OwnEntry::Prompts(saved)) if is_list => {
-                saved_state = Some(prompts::decode(cx, &saved));
+                saved_state = Some(saved_state::decode(cx, &saved));
             }
             Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.uses_operator_config => {
-                fleet::apply_snapshot(cx, *snapshot);
+                accepted_changes::apply_snapshot(cx, *snapshot);
             }
             Ok(OwnEntry::Change(change)) if cx.cfg.uses_operator_config => changes.push(*change),
             Ok(OwnEntry::Quarantined(request)) => {
@@ -163,7 +163,7 @@
         }
     }
     for change in changes {
-        fleet::apply_change(cx, change);
+        accepted_changes::apply_change(cx, change);
     }
     saved_state
 }
