--- a/src/bin/scaleford/main.rs
+++ b/src/bin/scaleford/main.rs
@@ -49,7 +49,7 @@
 
 fn query_router(flags: &flags::Scaleford) -> ExitCode {
     match call(flags) {
-        Ok(answer) => show::response(flags, &answer),
+        Ok(response) => show::response(flags, &response),
         Err(text) => {
             eprintln!("scaleford: {text}");
             ExitCode::from(USAGE_ERROR)
--- a/src/bin/scaleford/show.rs
+++ b/src/bin/scaleford/show.rs
@@ -13,13 +13,13 @@
 };
 
 /// Prints a response and returns the exit code.
-pub(crate) fn response(flags: &Scaleford, answer: &ApiResponse) -> ExitCode {
-    let error = answer.body.get("error");
+pub(crate) fn response(flags: &Scaleford, response: &ApiResponse) -> ExitCode {
+    let error = response.body.get("error");
     let code = error
         .and_then(|e| e["number"].as_i64())
         .and_then(ResultCode::from_number);
     match error {
-        _ if flags.json => println!("{}", answer.body),
+        _ if flags.json => println!("{}", response.body),
         Some(e) => eprintln!(
             "error {} {}: {}",
             e["number"],
@@ -27,25 +27,25 @@
             text(&e["message"])
         ),
         None => match &flags.subcommand {
-            ScalefordCmd::Status(_) => status(&answer.body),
-            ScalefordCmd::Explain(_) => explain(&answer.body),
+            ScalefordCmd::Status(_) => status(&response.body),
+            ScalefordCmd::Explain(_) => explain(&response.body),
             ScalefordCmd::Intent(i) => match &i.subcommand {
                 // A plan is printed as JSON, so that it can be piped into `confirm`.
-                IntentCmd::Plan(_) => plan(&answer.body),
+                IntentCmd::Plan(_) => plan(&response.body),
                 IntentCmd::Confirm(_) => {
                     println!(
                         "{} accepted as revision {}",
-                        text(&answer.body["id"]),
-                        answer.body["revision"]
+                        text(&response.body["id"]),
+                        response.body["revision"]
                     );
                 }
-                IntentCmd::List(_) => list(&answer.body),
-                IntentCmd::Show(_) => pretty(&answer.body),
+                IntentCmd::List(_) => list(&response.body),
+                IntentCmd::Show(_) => pretty(&response.body),
             },
-            ScalefordCmd::Config(_) | ScalefordCmd::CheckConfig(_) => pretty(&answer.body),
+            ScalefordCmd::Config(_) | ScalefordCmd::CheckConfig(_) => pretty(&response.body),
         },
     }
-    exit_code(answer.status, code)
+    exit_code(response.status, code)
 }
 
 /// Prints the log lines that are relevant to a call; the exit code is 3 if there are none.
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -171,7 +171,7 @@
         id: Option<&str>,
     ) -> Result<CallInfo, Refusal>;
     /// Converts a caller's headers into the headers for a target.
-    fn write_forward_headers(&self, headers: &mut HeaderMap, handover: &ForwardInfo<'_>);
+    fn write_forward_headers(&self, headers: &mut HeaderMap, info: &ForwardInfo<'_>);
     /// Parses the head of a target's response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo;
     /// Adds the call's id to its response, if callers expect it.
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -132,22 +132,22 @@
         }
     }
 
-    fn write_forward_headers(&self, headers: &mut HeaderMap, handover: &ForwardInfo<'_>) {
+    fn write_forward_headers(&self, headers: &mut HeaderMap, info: &ForwardInfo<'_>) {
         for name in HOP_BY_HOP {
             headers.remove(name);
         }
         for name in NOT_FORWARDED {
             headers.remove(name);
         }
-        let request = handover.id.and_then(|id| id.parse().ok());
+        let request = info.id.and_then(|id| id.parse().ok());
         let attempt = request.map(|request| AttemptId {
             request,
-            number: handover.attempt,
+            number: info.attempt,
         });
         if let Some(attempt) = attempt {
             set(headers, REQUEST_ATTEMPT, &attempt.to_string());
         }
-        if let Some(rank) = handover.rank {
+        if let Some(rank) = info.rank {
             set(headers, PRIORITY, &Priority::from_rank(rank).to_string());
         }
     }
