--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -122,7 +122,7 @@
     pub id: Option<String>,
     /// Whether the target signed the response as its own.
     pub signed: bool,
-    /// Who rejected the call, in which case it has not run and will not run; `None` if it was not rejected.
+    /// Target that rejected the call, which has not run and will not run; `None` if it was not rejected.
     pub rejected_by: Option<RejectedBy>,
     /// Whether the body has a content encoding, which no target applies itself.
     pub has_content_encoding: bool,
@@ -132,7 +132,7 @@
     pub keep_alive: Option<Duration>,
     /// Whether the target closes the connection after this response.
     pub closes_connection: bool,
-    /// Whether the target accepts no further calls, for good or for a while.
+    /// Withdrawal of the target, if it accepts no further calls for good or for a while.
     pub withdrawal: Option<Withdrawal>,
 }
 
