--- a/src/bin/scaleford/flags.rs
+++ b/src/bin/scaleford/flags.rs
@@ -5,9 +5,9 @@
 xflags::xflags! {
     /// Queries a router of the fleet and changes the fleet's configuration.
     cmd scaleford {
-        /// IP:PORT at which any router accepts operators [default: SCALEFORD_OPERATOR].
+        /// IP:PORT at which any router accepts operators; defaults to the value of SCALEFORD_OPERATOR.
         optional --operator operator: String
-        /// Token of the operator [default: SCALEFORD_TOKEN].
+        /// Token of the operator; defaults to the value of SCALEFORD_TOKEN.
         optional --token token: String
         /// Prints the response as JSON.
         optional --json
