--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -134,7 +134,7 @@
         routers,
         targets: targets(cx),
         evacuated: evacuated(cx),
-        held_back: held_back(cx),
+        held_back: quarantined_requests(cx),
     }
 }
 
@@ -149,7 +149,7 @@
     shown.collect()
 }
 
-fn held_back(cx: &Gateway) -> Vec<QuarantinedRequest> {
+fn quarantined_requests(cx: &Gateway) -> Vec<QuarantinedRequest> {
     let dispatcher = cx.dispatcher.borrow();
     let quarantined = dispatcher.quarantine.quarantined(cx.now());
     let shown = quarantined.map(|(request, left)| QuarantinedRequest {
