--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -70,9 +70,12 @@
     pub(crate) crash_checks: CrashChecks,
     pub(crate) explain: ExplainRing,
     pub(crate) rules: Cell<Rules>,
+    /// Number of calls in progress at this router.
     pub(crate) in_progress: Cell<usize>,
+    /// Number of recent calls, which is halved periodically.
     pub(crate) recent_calls: Cell<u32>,
     fleet_share: RefCell<FleetShare>,
+    /// Number of the last datagram that was created.
     pub(crate) datagram_count: Cell<u64>,
     /// Whether this router aggregates counts for its data hall.
     pub(crate) is_aggregator: Cell<bool>,
@@ -89,10 +92,12 @@
     /// Latest instant at which the store is known to have held the contents of the mirror.
     pub(crate) store_confirmed_at: Cell<Option<Instant>>,
     lifecycle: RefCell<RouterLifecycle>,
+    /// Configuration in force; `None` before the first one arrived.
     serving: RefCell<Option<Rc<ServingConfig>>>,
     /// Version of the operators' configuration that the store was last known to hold.
     pub(super) stored_config: Cell<Option<ConfigVersion>>,
     pub(crate) clock: Clock,
+    /// Time of day at which the gateway was created, in milliseconds since the Unix epoch.
     wall_epoch_ms: u64,
 }
 
@@ -197,7 +202,7 @@
         self.spans.started_count()
     }
 
-    /// Applies changed rules, and adds changed addresses of other routers.
+    /// Applies changed rules, and adds the configured addresses of other routers.
     pub(crate) fn reload(&self, cfg: &GatewayConfig) {
         let now = self.now();
         self.rules.set(cfg.rules);
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -46,12 +46,17 @@
 /// that all routers of its data hall announce, thousands in the first seconds of a day.
 const MAX_PARTS_PER_DATAGRAM: usize = 240;
 
-/// Instants at which each kind of state was last sent.
+/// Progress of the periodic sends to peers.
 struct LastSends {
+    /// Instant at which counts or a heartbeat were last sent.
     state: Instant,
+    /// Schedule of the reports of accounts' rates.
     rates: RateReportSchedule,
+    /// Whether [`SYNC_START_DELAY`] has not passed yet.
     in_start_delay: bool,
+    /// Instant at which the count of recent calls was last halved.
     calls_halved: Instant,
+    /// Instant at which shares of accounts' limits were last requested.
     shares: Instant,
 }
 
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -71,7 +71,7 @@
 
 /// Returns the name of the operator whose token the request presents.
 ///
-/// Each comparison takes constant time, so that it reveals nothing about a token.
+/// The comparison takes constant time, so that its duration does not reveal how much of a token matches.
 fn authenticate(cx: &Gateway, req: &Request<Incoming>) -> Option<String> {
     let header = req.headers().get(hyper::header::AUTHORIZATION)?;
     let presented = header.to_str().ok()?.strip_prefix("Bearer ")?;
