--- a/src/edge/admission.rs
+++ b/src/edge/admission.rs
@@ -81,11 +81,11 @@
 /// deadlines for streams.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Admits a call, or returns why it is refused. Records the request's fingerprint in `ending`.
+/// Admits a call, or returns why it is refused. Records the request's fingerprint in `call_guard`.
 pub(crate) fn admit(
     cx: &Rc<Gateway>,
     incoming_call: IncomingCall,
-    ending: &mut CallGuard,
+    call_guard: &mut CallGuard,
 ) -> Result<(Call, Option<AccountPermit>), Refusal> {
     let config = cx
         .serving()
@@ -100,7 +100,7 @@
     let body = body.ok_or(too_large)?;
     let facts = cx.dialect.parse_call(&head, &body, id.as_deref())?;
     let admitted = config.admit(&facts.routing_key, facts.key.as_deref());
-    let (route, holder) = admitted.map_err(|denied| match denied {
+    let (route, key_owner) = admitted.map_err(|denied| match denied {
         Denied::NoRoute => facts.no_route_refusal.clone(),
         Denied::WrongKey => Refusal::new(ResultCode::WrongKey, "no such key"),
     })?;
@@ -116,16 +116,16 @@
         let why = "configuration too old to trust keys";
         return Err(Refusal::new(ResultCode::ConfigTooOld, why));
     }
-    let account = holder.as_ref().map(|h| &h.account);
+    let account = key_owner.as_ref().map(|h| &h.account);
     let fingerprint = fingerprint(&head, &body, &facts, account);
-    ending.fingerprint = Some(fingerprint);
+    call_guard.fingerprint = Some(fingerprint);
     if let Some(time_left) = crash_checks::quarantine_time_left(cx, fingerprint) {
         return Err(Refusal {
             retry_after: Some(time_left),
             ..Refusal::new(ResultCode::HeldBack, QUARANTINE_TEXT)
         });
     }
-    let place = accounts::admit(cx, holder.as_ref())
+    let account_place = accounts::admit(cx, key_owner.as_ref())
         .map_err(|retry_after| account_limit_refusal(cx, id.as_deref(), retry_after))?;
     let hash = xxh3_64(id.as_deref().unwrap_or_default().as_bytes());
     let service = route.service_for(hash).cloned();
@@ -135,7 +135,7 @@
     let engine = spec.and_then(|s| s.engine);
     cx.count_call(received, &service);
     cx.record_decision(id.as_deref().unwrap_or_default(), || Decision::Received {
-        account: holder
+        account: key_owner
             .as_ref()
             .map_or_else(String::new, |h| h.account.to_string()),
         pool: service.to_string(),
@@ -148,7 +148,7 @@
         kind: route.kind,
         prompt: facts.prompt.clone(),
         shared_parts: facts.shared_parts,
-        chat: chat_key(&facts, holder.as_ref()),
+        chat: chat_key(&facts, key_owner.as_ref()),
         answer: engine
             .and_then(|e| e.expected_response)
             .map_or(Tokens(0), |expected| {
@@ -165,7 +165,7 @@
     let call = Call {
         fingerprint,
         deadline: received + call_timeout(&facts, &route),
-        rank: rank(&facts, &route, holder.as_ref()),
+        rank: rank(&facts, &route, key_owner.as_ref()),
         last_event: facts.last_event_id,
         attempts: Attempts::default(),
         conn_limit: spec.map_or(usize::MAX, |s| cx.conn_share(s.max_conns)),
@@ -175,10 +175,10 @@
         id,
         facts,
         route,
-        key_owner: holder,
+        key_owner,
         received,
     };
-    Ok((call, place))
+    Ok((call, account_place))
 }
 
 fn fingerprint(
@@ -205,15 +205,15 @@
         .map_or(route.timeout, |d| d.min(route.timeout))
 }
 
-fn chat_key(facts: &CallInfo, holder: Option<&KeyOwner>) -> Option<crate::ids::ConversationKey> {
+fn chat_key(facts: &CallInfo, key_owner: Option<&KeyOwner>) -> Option<crate::ids::ConversationKey> {
     let chat = facts.conversation?;
-    Some(holder.map_or(chat, |h| chat.within(&h.account)))
+    Some(key_owner.map_or(chat, |h| chat.within(&h.account)))
 }
 
 /// Returns the call's urgency: the account's rank, or the route's if the account has none or the
 /// route's calls are claimed. The caller can only lower it.
-fn rank(facts: &CallInfo, route: &Route, holder: Option<&KeyOwner>) -> Rank {
-    let default = holder.and_then(|h| h.rank).unwrap_or(route.rank);
+fn rank(facts: &CallInfo, route: &Route, key_owner: Option<&KeyOwner>) -> Rank {
+    let default = key_owner.and_then(|h| h.rank).unwrap_or(route.rank);
     let default = if route.claimed { route.rank } else { default };
     facts
         .rank
--- a/src/edge/attempt.rs
+++ b/src/edge/attempt.rs
@@ -141,8 +141,8 @@
     call: &mut Call,
     timeout: Duration,
 ) -> Result<StartedAnswer, AttemptFailure> {
-    let (place, conn) = connect(cx, call).await?;
-    let result = send(cx, call, place, conn, timeout).await;
+    let (guard, conn) = connect(cx, call).await?;
+    let result = send(cx, call, guard, conn, timeout).await;
     if let Err(failed) = &result {
         call.attempts.on_attempt_end(failed.execution);
     }
@@ -179,29 +179,29 @@
         cx.metrics.prompt_tokens_missing.inc_by(ticket.missing.0);
         cx.metrics.on_choice(ticket.counted_ago);
         call.plan.tried.push(target.id.clone());
-        let place = AttemptGuard::new(cx, call, now, ticket);
+        let guard = AttemptGuard::new(cx, call, now, ticket);
         cx.record_decision(call.id(), || Decision::Tried {
             target: target.id.clone(),
-            calls: place.ticket.calls,
-            missing: place.ticket.missing.0,
+            calls: guard.ticket.calls,
+            missing: guard.ticket.missing.0,
         });
         let repeatable = call.route.kind.is_repeatable();
         if let Some(conn) = cx.conns.take(now, &target.id, repeatable) {
-            return Ok((place, conn));
+            return Ok((guard, conn));
         }
         let opened = cx.conns.open(&target.id, target.address, call.conn_limit);
         match opened.await {
-            Ok(_) if withdrawals::is_withdrawn(cx, &target.id) => place.end(AttemptEnd::Withdrawn),
+            Ok(_) if withdrawals::is_withdrawn(cx, &target.id) => guard.end(AttemptEnd::Withdrawn),
             Ok(conn) => {
                 cx.metrics.connections_opened.inc();
-                return Ok((place, conn));
+                return Ok((guard, conn));
             }
-            Err(ConnectError::AtLimit) => place.end(AttemptEnd::ConnectionsAtLimit),
+            Err(ConnectError::AtLimit) => guard.end(AttemptEnd::ConnectionsAtLimit),
             Err(ConnectError::Refused) => {
                 on_connection_refused(cx, call, &target.id);
-                place.end(AttemptEnd::ConnectionRefused);
+                guard.end(AttemptEnd::ConnectionRefused);
             }
-            Err(ConnectError::Unreachable) => place.end(AttemptEnd::Unreachable),
+            Err(ConnectError::Unreachable) => guard.end(AttemptEnd::Unreachable),
         }
     }
 }
@@ -209,12 +209,12 @@
 async fn send(
     cx: &Rc<Gateway>,
     call: &mut Call,
-    mut place: AttemptGuard,
+    mut guard: AttemptGuard,
     mut conn: Conn,
     timeout: Duration,
 ) -> Result<StartedAnswer, AttemptFailure> {
     let now = cx.now();
-    let req = build_request(cx, call, now, &place.ticket, &place.span);
+    let req = build_request(cx, call, now, &guard.ticket, &guard.span);
     let until = (now + timeout).min(call.deadline);
     call.attempts.on_sent();
     let sent = conn.sender.try_send_request(req);
@@ -224,23 +224,23 @@
         Some(Err(mut e)) => {
             // The client hands a request back only if it was never written to the connection.
             let unsent = e.take_message().is_some();
-            if let Some(rested) = conn.idle_time() {
-                cx.conns.on_idle_conn_broke(cx.now(), rested);
+            if let Some(idle_time) = conn.idle_time() {
+                cx.conns.on_idle_conn_broke(cx.now(), idle_time);
             }
-            on_connection_broke(cx, call, place.target(), now);
+            on_connection_broke(cx, call, guard.target(), now);
             let failed = match unsent {
                 true => AttemptFailure::not_run(AttemptEnd::ClosedBeforeSend),
                 false => AttemptFailure::may_have_run(AttemptEnd::ConnectionBroke),
             };
-            place.end(failed.end);
+            guard.end(failed.end);
             return Err(failed);
         }
         None if until >= call.deadline => {
-            place.end(AttemptEnd::DeadlineExceeded);
+            guard.end(AttemptEnd::DeadlineExceeded);
             return Err(AttemptFailure::may_have_run(AttemptEnd::DeadlineExceeded));
         }
         None => {
-            place.end(AttemptEnd::Silent);
+            guard.end(AttemptEnd::Silent);
             return Err(AttemptFailure::may_have_run(AttemptEnd::Silent));
         }
     };
@@ -248,18 +248,18 @@
     let facts = cx.dialect.parse_response(head.status, &head.headers);
     if let Some(load) = facts.load {
         let mut dispatcher = cx.dispatcher.borrow_mut();
-        dispatcher.load.on_report(cx.now(), place.target(), load);
+        dispatcher.load.on_report(cx.now(), guard.target(), load);
     }
-    place.on_head(&facts);
-    withdrawals::on_response_head(cx, call, place.target(), head.status, &facts);
-    let begun = StartedAnswer {
+    guard.on_head(&facts);
+    withdrawals::on_response_head(cx, call, guard.target(), head.status, &facts);
+    let answer = StartedAnswer {
         head,
         body,
         facts,
         conn,
-        guard: place,
+        guard,
     };
-    check_head(cx, call, begun)
+    check_head(cx, call, answer)
 }
 
 /// Records that a target is down: nothing listens at its address, or another target has the address.
@@ -286,32 +286,32 @@
 fn check_head(
     cx: &Gateway,
     call: &Call,
-    begun: StartedAnswer,
+    answer: StartedAnswer,
 ) -> Result<StartedAnswer, AttemptFailure> {
-    let facts = &begun.facts;
-    let status = begun.head.status;
+    let facts = &answer.facts;
+    let status = answer.head.status;
     let is_other_call = facts.id.is_some() && facts.id != call.id;
     match () {
         () if is_other_call => {
-            begun.guard.end(AttemptEnd::AnswerToAnotherCall);
+            answer.guard.end(AttemptEnd::AnswerToAnotherCall);
             Err(AttemptFailure::may_have_run(
                 AttemptEnd::AnswerToAnotherCall,
             ))
         }
         () if facts.rejected_by == Some(RejectedBy::OtherTarget) => {
-            on_connection_refused(cx, call, begun.guard.target());
-            begun.guard.end(AttemptEnd::AnotherTarget);
+            on_connection_refused(cx, call, answer.guard.target());
+            answer.guard.end(AttemptEnd::AnotherTarget);
             Err(AttemptFailure::not_run(AttemptEnd::AnotherTarget))
         }
         () if facts.rejected_by.is_some() => {
-            begun.guard.end(AttemptEnd::Refused);
+            answer.guard.end(AttemptEnd::Refused);
             Err(AttemptFailure::not_run(AttemptEnd::Refused))
         }
         () if !facts.is_authentic(status) => {
-            begun.guard.end(AttemptEnd::UnverifiedAnswer);
+            answer.guard.end(AttemptEnd::UnverifiedAnswer);
             Err(AttemptFailure::may_have_run(AttemptEnd::UnverifiedAnswer))
         }
-        () => Ok(begun),
+        () => Ok(answer),
     }
 }
 
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -61,13 +61,13 @@
             .write_call_id(res.headers_mut(), id.as_deref().unwrap_or_default());
         return Ok(res);
     }
-    let mut ending = CallGuard::new(cx, id.as_deref());
+    let mut call_guard = CallGuard::new(cx, id.as_deref());
     let body = match read_body(cx, &head.headers, body_stream).await {
         Ok(body) => body,
         Err(BodyError::Aborted) => return Err(RequestAborted),
         Err(BodyError::TimedOut) => {
             let refusal = Refusal::new(ResultCode::SlowSender, "the body did not arrive in time");
-            return Ok(refuse(cx, &ending, refusal));
+            return Ok(refuse(cx, &call_guard, refusal));
         }
     };
     let incoming_call = IncomingCall {
@@ -77,16 +77,16 @@
         received,
     };
     await_config(cx, &incoming_call).await;
-    let (call, place) = match admit(cx, incoming_call, &mut ending) {
+    let (call, account_place) = match admit(cx, incoming_call, &mut call_guard) {
         Ok(admitted) => admitted,
-        Err(refusal) => return Ok(refuse(cx, &ending, refusal)),
+        Err(refusal) => return Ok(refuse(cx, &call_guard, refusal)),
     };
-    ending.route.clone_from(&call.route.name);
-    ending.set_account_place(place);
+    call_guard.route.clone_from(&call.route.name);
+    call_guard.set_account_place(account_place);
     Ok(match () {
-        () if call.route.claimed => claimed_calls::serve_claimed(cx, call, ending).await,
-        () if call.route.kind.is_stream() => stream::serve(cx, call, ending).await,
-        () => serve_plain(cx, call, ending).await,
+        () if call.route.claimed => claimed_calls::serve_claimed(cx, call, call_guard).await,
+        () if call.route.kind.is_stream() => stream::serve(cx, call, call_guard).await,
+        () => serve_plain(cx, call, call_guard).await,
     })
 }
 
@@ -178,21 +178,25 @@
     GaveUp(AttemptFailure),
 }
 
-async fn serve_plain(cx: &Rc<Gateway>, mut call: Call, ending: CallGuard) -> Response<AnswerBody> {
+async fn serve_plain(
+    cx: &Rc<Gateway>,
+    mut call: Call,
+    call_guard: CallGuard,
+) -> Response<AnswerBody> {
     let served = run_attempts(cx, &mut call).await;
-    respond(cx, &ending, &call, served)
+    respond(cx, &call_guard, &call, served)
 }
 
 /// Builds the response to a call that was served or given up.
 pub(crate) fn respond(
     cx: &Gateway,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     call: &Call,
     served: CallResult,
 ) -> Response<AnswerBody> {
     match served {
-        CallResult::Answer(answer) => pass_on(cx, ending, call, answer),
-        CallResult::GaveUp(failed) => give_up(cx, ending, call, failed),
+        CallResult::Answer(answer) => pass_on(cx, call_guard, call, answer),
+        CallResult::GaveUp(failed) => give_up(cx, call_guard, call, failed),
     }
 }
 
@@ -204,7 +208,7 @@
     loop {
         let timeout = attempt_timeout(cx, call, GOAL_TIMEOUT_FACTOR, MIN_ATTEMPT_TIMEOUT);
         let failed = match attempt(cx, call, timeout).await {
-            Ok(begun) => match read_answer(cx, call, begun).await {
+            Ok(started_answer) => match read_answer(cx, call, started_answer).await {
                 Ok(answer) if answer.0.status.is_server_error() => {
                     last_answer = Some(answer);
                     AttemptFailure {
@@ -275,7 +279,7 @@
 async fn read_answer(
     cx: &Gateway,
     call: &mut Call,
-    begun: StartedAnswer,
+    started_answer: StartedAnswer,
 ) -> Result<CompleteAnswer, AttemptFailure> {
     let StartedAnswer {
         mut head,
@@ -283,7 +287,7 @@
         facts,
         conn,
         guard,
-    } = begun;
+    } = started_answer;
     let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let read = cx.clock.timeout_at(call.deadline, reading).await;
     let end = match &read {
--- a/src/edge/call_end.rs
+++ b/src/edge/call_end.rs
@@ -118,8 +118,8 @@
     }
 
     /// Keeps the call's share of its account's concurrency limit until the call ends.
-    pub(crate) fn set_account_place(&mut self, place: Option<AccountPermit>) {
-        self.account_place = place;
+    pub(crate) fn set_account_place(&mut self, account_place: Option<AccountPermit>) {
+        self.account_place = account_place;
     }
 
     /// Records the end of the call in the log, the metrics and the trace.
@@ -156,15 +156,15 @@
 /// Passes a target's complete answer on to the caller.
 pub(crate) fn pass_on(
     cx: &Gateway,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     call: &Call,
     answer: CompleteAnswer,
 ) -> Response<AnswerBody> {
     let (head, body) = answer;
-    ending.record_end(CallEnd::answered(head.status), call.attempts);
+    call_guard.record_end(CallEnd::answered(head.status), call.attempts);
     finish_response(
         cx,
-        ending,
+        call_guard,
         Response::from_parts(head, AnswerBody::whole(body)),
     )
 }
@@ -173,10 +173,10 @@
 /// response if the router is stopping.
 pub(crate) fn finish_response(
     cx: &Gateway,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     mut res: Response<AnswerBody>,
 ) -> Response<AnswerBody> {
-    cx.dialect.write_call_id(res.headers_mut(), &ending.id);
+    cx.dialect.write_call_id(res.headers_mut(), &call_guard.id);
     if cx.phase() != Phase::Serving {
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
@@ -187,26 +187,26 @@
 /// Builds the response to a call that was not served; it depends on whether the call may have run.
 pub(crate) fn give_up(
     cx: &Gateway,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     call: &Call,
     failed: AttemptFailure,
 ) -> Response<AnswerBody> {
     match call.attempts.not_run() {
-        Some(proof) => respond_not_run(cx, ending, call, failed, proof),
+        Some(proof) => respond_not_run(cx, call_guard, call, failed, proof),
         None => {
             let code = match cx.now() >= call.deadline {
                 true => ResultCode::TargetTimeout,
                 false => ResultCode::OutcomeUnknown,
             };
-            ending.record_end(CallEnd::failed(code, failed.end.name()), call.attempts);
-            finish_response(cx, ending, reply::error(code, failed.end.name()))
+            call_guard.record_end(CallEnd::failed(code, failed.end.name()), call.attempts);
+            finish_response(cx, call_guard, reply::error(code, failed.end.name()))
         }
     }
 }
 
 fn respond_not_run(
     cx: &Gateway,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     call: &Call,
     failed: AttemptFailure,
     _proof: NotRun,
@@ -219,18 +219,18 @@
         _ if call.attempts.sent() > 0 => (ResultCode::TargetRefused, "no target took the request"),
         end => (ResultCode::NoTarget, end.name()),
     };
-    ending.record_end(CallEnd::failed(code, failed.end.name()), call.attempts);
+    call_guard.record_end(CallEnd::failed(code, failed.end.name()), call.attempts);
     let no_capacity = matches!(code, ResultCode::Overloaded | ResultCode::TargetRefused);
     let none_left = matches!(
         failed.end,
         AttemptEnd::AllEvacuated | AttemptEnd::AllLeaving
     );
     let is_shortage = no_capacity || none_left;
-    let come_back = match failed.end {
+    let retry_delay = match failed.end {
         AttemptEnd::Quarantined => crash_checks::quarantine_time_left(cx, call.fingerprint),
         _ => is_shortage.then(|| retry_after(cx, call)),
     };
-    respond_error(cx, ending, code, text, come_back)
+    respond_error(cx, call_guard, code, text, retry_delay)
 }
 
 /// Computes after which delay a caller should retry whose call found no free capacity, and logs it.
@@ -250,22 +250,26 @@
 }
 
 /// Refuses a call of which nothing was sent to a target.
-pub(crate) fn refuse(cx: &Gateway, ending: &CallGuard, refusal: Refusal) -> Response<AnswerBody> {
+pub(crate) fn refuse(
+    cx: &Gateway,
+    call_guard: &CallGuard,
+    refusal: Refusal,
+) -> Response<AnswerBody> {
     let Refusal {
         code,
         why,
         retry_after,
     } = refusal;
     let why: Cow<'static, str> = why;
-    ending.record_end(CallEnd::failed(code, &why), Attempts::default());
-    respond_error(cx, ending, code, &why, retry_after)
+    call_guard.record_end(CallEnd::failed(code, &why), Attempts::default());
+    respond_error(cx, call_guard, code, &why, retry_after)
 }
 
 /// Builds an error response of the router. A 429 or 503 always has a `Retry-After`; without one given,
 /// it is spread over 0.5 to 1.5 times the default.
 fn respond_error(
     cx: &Gateway,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     code: ResultCode,
     why: &str,
     retry_after: Option<Duration>,
@@ -280,5 +284,5 @@
     if let Some(Ok(header_value)) = header_value {
         res.headers_mut().insert(header::RETRY_AFTER, header_value);
     }
-    finish_response(cx, ending, res)
+    finish_response(cx, call_guard, res)
 }
--- a/src/edge/claimed_calls.rs
+++ b/src/edge/claimed_calls.rs
@@ -35,11 +35,11 @@
 pub(super) async fn serve_claimed(
     cx: &Rc<Gateway>,
     mut call: Call,
-    ending: CallGuard,
+    call_guard: CallGuard,
 ) -> Response<AnswerBody> {
     let step = match claim_step(&call) {
         Ok(step) => step,
-        Err(refusal) => return refuse(cx, &ending, refusal),
+        Err(refusal) => return refuse(cx, &call_guard, refusal),
     };
     let verdict = record_step(cx, step).await;
     if let Some(code) = verdict.refusal() {
@@ -52,21 +52,21 @@
             retry_after: Some(CLAIM_RETRY_AFTER),
             ..Refusal::new(code, "")
         };
-        return refuse(cx, &ending, refusal);
+        return refuse(cx, &call_guard, refusal);
     }
-    let claimed = ClaimGuard {
+    let claim_guard = ClaimGuard {
         cx: Rc::clone(cx),
         step,
         settled: Cell::new(false),
     };
     let served = run_attempts(cx, &mut call).await;
     match (&served, call.attempts.not_run()) {
-        (CallResult::Answer(answer), _) => claimed.on_done(answer.0.status.as_u16()),
+        (CallResult::Answer(answer), _) => claim_guard.on_done(answer.0.status.as_u16()),
         // The caller may retry at once, so the claim is released before the response.
-        (CallResult::GaveUp(_), Some(proof)) => claimed.release(proof).await,
-        (CallResult::GaveUp(_), None) => claimed.on_done(0),
+        (CallResult::GaveUp(_), Some(proof)) => claim_guard.release(proof).await,
+        (CallResult::GaveUp(_), None) => claim_guard.on_done(0),
     }
-    respond(cx, &ending, &call, served)
+    respond(cx, &call_guard, &call, served)
 }
 
 fn claim_step(call: &Call) -> Result<ClaimStep, Refusal> {
@@ -74,10 +74,14 @@
     let missing = Refusal::new(ResultCode::MissingIdempotencyKey, missing);
     let idempotency_key = call.facts.idempotency_key.as_deref().ok_or(missing)?;
     let internal = || Refusal::new(ResultCode::Internal, "a call without an account or an id");
-    let holder = call.key_owner.as_ref().ok_or_else(internal)?;
+    let key_owner = call.key_owner.as_ref().ok_or_else(internal)?;
     let request: RequestId = call.id().parse().map_err(|_| internal())?;
     Ok(ClaimStep {
-        key: ClaimKey::new(&holder.account, call.plan.service.as_str(), idempotency_key),
+        key: ClaimKey::new(
+            &key_owner.account,
+            call.plan.service.as_str(),
+            idempotency_key,
+        ),
         request,
         kind: ClaimKind::Claim,
         outcome: 0,
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -131,9 +131,9 @@
     /// well, so the maximum idle time for calls that must not be sent twice is reduced to at most half of
     /// `idle_time`, but not below its minimum.
     pub(crate) fn on_idle_conn_broke(&self, now: Instant, idle_time: Duration) {
-        let longest = self.unrepeatable_idle(now).min(idle_time / 2);
+        let max_idle = self.unrepeatable_idle(now).min(idle_time / 2);
         self.reduced_idle.set(Some(ReducedIdle {
-            max_idle: longest.max(MIN_UNREPEATABLE_IDLE),
+            max_idle: max_idle.max(MIN_UNREPEATABLE_IDLE),
             since: now,
         }));
     }
@@ -143,8 +143,8 @@
             return MAX_UNREPEATABLE_IDLE;
         };
         let doublings = now.since(reduced.since).as_secs() / IDLE_DOUBLING_INTERVAL.as_secs();
-        let longest = reduced.max_idle * 2u32.saturating_pow(doublings.min(16) as u32);
-        longest.min(MAX_UNREPEATABLE_IDLE)
+        let max_idle = reduced.max_idle * 2u32.saturating_pow(doublings.min(16) as u32);
+        max_idle.min(MAX_UNREPEATABLE_IDLE)
     }
 
     /// Opens a connection, unless `limit` connections to the target are open or being opened already.
@@ -158,7 +158,7 @@
             return Err(ConnectError::AtLimit);
         }
         *self.open.borrow_mut().entry(target.clone()).or_default() += 1;
-        let counted = OpeningGuard {
+        let opening_guard = OpeningGuard {
             pool: Rc::clone(self),
             target: target.clone(),
         };
@@ -168,7 +168,7 @@
             Ok(Err(e)) if e.is_refused() => return Err(ConnectError::Refused),
             Ok(Err(_)) | Err(_) => return Err(ConnectError::Unreachable),
         };
-        std::mem::forget(counted);
+        std::mem::forget(opening_guard);
         Ok(Conn {
             sender,
             task,
--- a/src/edge/crash_checks.rs
+++ b/src/edge/crash_checks.rs
@@ -53,8 +53,8 @@
     if is_irrelevant {
         return;
     }
-    let mut broken_off = cx.crash_checks.broken_attempts.borrow_mut();
-    let at_target = broken_off.entry(target.id.clone()).or_default();
+    let mut broken_attempts = cx.crash_checks.broken_attempts.borrow_mut();
+    let at_target = broken_attempts.entry(target.id.clone()).or_default();
     at_target.push(BrokenAttempt {
         call: call.to_owned(),
         request,
@@ -67,18 +67,18 @@
 async fn check_target(cx: Rc<Gateway>, target: Rc<TargetRecord>) {
     let opened = cx.conns.open(&target.id, target.address, usize::MAX);
     let opened = opened.await;
-    let broken_off = cx
+    let broken_attempts = cx
         .crash_checks
         .broken_attempts
         .borrow_mut()
         .remove(&target.id);
-    let broken_off = broken_off.unwrap_or_default();
+    let broken_attempts = broken_attempts.unwrap_or_default();
     match opened {
         Ok(conn) => return_to_pool(&cx, conn),
-        Err(ConnectError::Refused) => on_crash(&cx, &target.id, &broken_off),
+        Err(ConnectError::Refused) => on_crash(&cx, &target.id, &broken_attempts),
         Err(ConnectError::Unreachable | ConnectError::AtLimit) => {
             info!(cx.log, "not known whether a target crashed"; "target" => %target.id,
-                "calls" => broken_off.len());
+                "calls" => broken_attempts.len());
         }
     }
 }
@@ -88,20 +88,20 @@
     cx.conns.put_idle(cx.now(), conn, None);
 }
 
-fn on_crash(cx: &Gateway, target: &TargetId, broken_off: &[BrokenAttempt]) {
+fn on_crash(cx: &Gateway, target: &TargetId, broken_attempts: &[BrokenAttempt]) {
     let now = cx.now();
     cx.dispatcher
         .borrow_mut()
         .health
         .outages
         .on_refused(now, target.into());
-    for BrokenAttempt { call, request } in broken_off {
+    for BrokenAttempt { call, request } in broken_attempts {
         let change = {
             let quarantine = &mut cx.dispatcher.borrow_mut().quarantine;
             quarantine.on_crash(now, *request, target.into())
         };
         info!(cx.log, "target crashed during a call"; "id" => call, "fingerprint" => %request, "target" => %target,
-            "calls" => broken_off.len());
+            "calls" => broken_attempts.len());
         log_change(cx, *request, change, "targets crashed here");
         if change.is_some() {
             cx.crash_checks.wake_writer.notify_one();
--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -80,21 +80,21 @@
 pub(super) async fn serve(
     cx: &Rc<Gateway>,
     mut call: Call,
-    ending: CallGuard,
+    call_guard: CallGuard,
 ) -> Response<AnswerBody> {
     let mut previous = None;
     loop {
         let failed = match begin(cx, &mut call).await {
             Ok(AnswerStart::Stream(head, source, first)) => {
-                return relay(cx, call, ending, head, source, first);
+                return relay(cx, call, call_guard, head, source, first);
             }
             Ok(AnswerStart::Whole(head, bytes)) => {
-                return pass_on(cx, &ending, &call, (head, bytes));
+                return pass_on(cx, &call_guard, &call, (head, bytes));
             }
             Err(failed) => failed,
         };
         if !take_retry(cx, &call, failed) {
-            return give_up(cx, &ending, &call, failed.or_previous(previous));
+            return give_up(cx, &call_guard, &call, failed.or_previous(previous));
         }
         previous = Some(failed);
     }
@@ -112,14 +112,14 @@
 async fn begin(cx: &Rc<Gateway>, call: &mut Call) -> Result<AnswerStart, AttemptFailure> {
     let timeout = attempt_timeout(cx, call, FIRST_EVENT_TIMEOUT_FACTOR, MIN_EVENT_TIMEOUT);
     let until = (cx.now() + timeout).min(call.deadline);
-    let begun = attempt(cx, call, timeout).await?;
+    let started_answer = attempt(cx, call, timeout).await?;
     let StartedAnswer {
         mut head,
         body,
         facts,
         conn,
         guard,
-    } = begun;
+    } = started_answer;
     strip_connection_headers(&mut head.headers);
     if !head.status.is_success() {
         return read_failure(cx, call, head, body, guard).await;
@@ -218,20 +218,20 @@
 fn relay(
     cx: &Rc<Gateway>,
     call: Call,
-    ending: CallGuard,
+    call_guard: CallGuard,
     head: response::Parts,
     source: Box<EventSource>,
     first: Event,
 ) -> Response<AnswerBody> {
     let (tx, body) = AnswerBody::events();
-    let res = finish_response(cx, &ending, Response::from_parts(head, body));
+    let res = finish_response(cx, &call_guard, Response::from_parts(head, body));
     let cx_task = Rc::clone(cx);
     tokio::task::spawn_local(async move {
         let events_tx = tx.clone();
         tokio::select! {
             biased;
             () = events_tx.closed() => {}
-            () = forward_events(&cx_task, call, &ending, *source, first, tx) => {}
+            () = forward_events(&cx_task, call, &call_guard, *source, first, tx) => {}
         }
     });
     res
@@ -240,7 +240,7 @@
 async fn forward_events(
     cx: &Rc<Gateway>,
     mut call: Call,
-    ending: &CallGuard,
+    call_guard: &CallGuard,
     mut source: EventSource,
     first: Event,
     tx: EventSender,
@@ -263,7 +263,7 @@
                     conn, guard, facts, ..
                 } = source;
                 guard.end(AttemptEnd::Answered);
-                ending.record_end(CallEnd::answered(StatusCode::OK), call.attempts);
+                call_guard.record_end(CallEnd::answered(StatusCode::OK), call.attempts);
                 drop(tx);
                 return_to_pool(cx, conn, &facts).await;
                 return;
@@ -278,7 +278,7 @@
                         status: 200,
                         ..CallEnd::failed(ResultCode::Incomplete, failed.end.name())
                     };
-                    ending.record_end(end, call.attempts);
+                    call_guard.record_end(end, call.attempts);
                     // If the caller has left as well, sending fails, and nothing more has to be done.
                     let _ = tx.send(Err(StreamAborted)).await;
                     return;
