--- a/src/edge/attempt_end.rs
+++ b/src/edge/attempt_end.rs
@@ -51,7 +51,7 @@
     AnotherTarget,
     /// The target refused the call and stated that it did not run it.
     Refused,
-    /// A success response without the target's signature header, or one with an encoded body.
+    /// A success response without the target's signature, or one with an encoded body.
     UnverifiedAnswer,
     /// The body of the answer ended before it was complete.
     AnswerTruncated,
--- a/src/edge/body.rs
+++ b/src/edge/body.rs
@@ -18,7 +18,8 @@
 /// Sending half of a stream of events.
 pub(crate) type EventSender = mpsc::Sender<Result<Bytes, StreamAborted>>;
 
-/// Maximum number of events that wait for a slow caller; beyond it, no more is read from the target.
+/// Maximum number of events that wait for a slow caller; beyond it, no more is read from the target, which
+/// slows the target down.
 const MAX_QUEUED_EVENTS: usize = 16;
 
 /// Body of a response.
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -232,7 +232,8 @@
     }
 }
 
-/// Returns whether another attempt may be made, and takes it from the retry budget.
+/// Returns whether another attempt may be made. If the call's deadline and route allow one, it is also taken
+/// from the retry budget.
 pub(crate) fn take_retry(cx: &Gateway, call: &Call, failed: AttemptFailure) -> bool {
     let now = cx.now();
     if failed.is_final || now >= call.deadline {
@@ -310,7 +311,7 @@
     Ok((head, collected.to_bytes()))
 }
 
-/// Returns a connection to the pool for the next call, unless it is closed or will be closed.
+/// Returns a connection to the pool for the next call, unless it is closed or the target will close it.
 pub(crate) async fn return_to_pool(
     cx: &Gateway,
     mut conn: super::conn::Conn,
--- a/src/edge/conn.rs
+++ b/src/edge/conn.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Handles a connection that broke under a call after it was idle for `idle_time`. Others may be closed as
-    /// well, so the maximum idle time for calls that must not be sent twice is reduced to at most half of
+    /// Handles a connection that broke under a call after it was idle for `idle_time`. Others may be closed
+    /// as well, so the maximum idle time for calls that must not be sent twice is reduced to at most half of
     /// `idle_time`, but not below its minimum.
     pub(crate) fn on_idle_conn_broke(&self, now: Instant, idle_time: Duration) {
         let max_idle = self.unrepeatable_idle(now).min(idle_time / 2);
@@ -256,7 +256,7 @@
 
 /// Sets the socket options of each of the gateway's connections.
 pub(crate) fn set_socket_options(stream: &TcpStream) {
-    // Both options only save time; a connection without them still works.
+    // Both options only make things faster; a connection without them still works.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT));
 }
