--- a/src/edge/accepted_changes.rs
+++ b/src/edge/accepted_changes.rs
@@ -103,7 +103,7 @@
 
 /// Sends a change that was accepted here to the other routers, as the store may become unavailable
 /// before they read it there. A router that is not reached reads it from the store or from a peer.
-pub(crate) fn spread(cx: &Rc<Gateway>, change: &Change) {
+pub(crate) fn broadcast_change(cx: &Rc<Gateway>, change: &Change) {
     let body = match serde_json::to_vec(change) {
         Ok(body) => Bytes::from(body),
         Err(e) => {
@@ -132,8 +132,8 @@
 pub(crate) fn unstored_changes(cx: &Gateway) -> Vec<Arc<Change>> {
     let stored = newest_stored_revision(cx);
     cx.accepted_changes.with_log(|log| {
-        let unseen = log.recent().filter(|c| c.revision > stored);
-        unseen.cloned().collect()
+        let unstored = log.recent().filter(|c| c.revision > stored);
+        unstored.cloned().collect()
     })
 }
 
--- a/src/edge/confirm.rs
+++ b/src/edge/confirm.rs
@@ -126,7 +126,7 @@
     };
     info!(cx.log, "change accepted"; "id" => %change.id, "revision" => change.revision.0,
         "author" => &change.author, "reason" => &change.reason);
-    accepted_changes::spread(cx, &change);
+    accepted_changes::broadcast_change(cx, &change);
     let revision = change.revision.0;
     if apply_change(cx, change) == ChangeOutcome::Applied
         && revision.is_multiple_of(CHANGES_PER_SNAPSHOT)
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -43,9 +43,9 @@
 const COMPRESSION_LEVEL: u8 = 3;
 
 /// First byte of a compressed response.
-const PACKED: u8 = 1;
+const COMPRESSED_TAG: u8 = 1;
 /// First byte of an uncompressed response.
-const PLAIN: u8 = 0;
+const UNCOMPRESSED_TAG: u8 = 0;
 
 /// Confirmation of the applied configuration that accompanies a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -134,17 +134,17 @@
 
 fn encoded_response(cx: &Gateway, after: StoreRevision) -> Result<Bytes, StoreError> {
     let revision = cx.mirror.borrow().revision();
-    let unseen = accepted_changes::unstored_entries(cx, revision);
+    let unstored = accepted_changes::unstored_entries(cx, revision);
     let mut cache = cx.response_cache.borrow_mut();
     let is_same = |a: &&CachedResponse| a.after == after && a.revision == revision;
     // Changes that have not been read back from the store yet are not part of a revision, so a response
     // with such changes is not taken from the cache.
-    if let Some(cached) = cache.0.iter().find(is_same).filter(|_| unseen.is_empty()) {
+    if let Some(cached) = cache.0.iter().find(is_same).filter(|_| unstored.is_empty()) {
         return Ok(cached.body.clone());
     }
     let mut reply = cx.mirror.borrow().since(after);
     if let Some(MirrorReply::Changes(update) | MirrorReply::List(update)) = &mut reply {
-        update.items.extend(unseen);
+        update.items.extend(unstored);
     }
     let body = encode(&reply.unwrap_or(MirrorReply::Nothing))?;
     cache.0.truncate(MAX_CACHED_RESPONSES - 1);
@@ -158,12 +158,12 @@
 }
 
 fn encode(reply: &MirrorReply) -> Result<Bytes, StoreError> {
-    let mut uncompressed = vec![PLAIN];
+    let mut uncompressed = vec![UNCOMPRESSED_TAG];
     uncompressed = postcard::to_extend(reply, uncompressed).map_err(invalid_response)?;
     if uncompressed.len() < MIN_BYTES_TO_COMPRESS {
         return Ok(uncompressed.into());
     }
-    let mut compressed = vec![PACKED];
+    let mut compressed = vec![COMPRESSED_TAG];
     compressed.extend(miniz_oxide::deflate::compress_to_vec(
         &uncompressed[1..],
         COMPRESSION_LEVEL,
@@ -174,10 +174,10 @@
 /// Decodes a peer's response.
 pub(super) fn decode(body: &[u8]) -> Result<MirrorReply, StoreError> {
     match body.split_first() {
-        Some((&PLAIN, uncompressed)) => {
+        Some((&UNCOMPRESSED_TAG, uncompressed)) => {
             postcard::from_bytes(uncompressed).map_err(invalid_response)
         }
-        Some((&PACKED, compressed)) => {
+        Some((&COMPRESSED_TAG, compressed)) => {
             let uncompressed =
                 miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, MAX_UNPACKED_BYTES);
             postcard::from_bytes(&uncompressed.map_err(invalid_response)?).map_err(invalid_response)
--- a/src/edge/saved_state.rs
+++ b/src/edge/saved_state.rs
@@ -106,11 +106,11 @@
 fn snapshot(cx: &Gateway) -> SavedState {
     let dispatcher = cx.dispatcher.borrow();
     let has_read = |id: &TargetId| dispatcher.cache.cached_tokens(id).0 > 0;
-    let held = dispatcher.admission.mean_slot_times();
+    let slot_times = dispatcher.admission.mean_slot_times();
     SavedState {
         prompts: PromptSnapshot::new(&dispatcher.cache.shared_parts()),
         targets: dispatcher.discovery.targets_to_save(has_read),
-        slot_times: held.map(|(s, held)| (s.clone(), held)).collect(),
+        slot_times: slot_times.map(|(s, time)| (s.clone(), time)).collect(),
     }
 }
 
--- a/src/edge/store_sync.rs
+++ b/src/edge/store_sync.rs
@@ -58,7 +58,7 @@
 
 /// Keeps the copy of the store up to date until the router stops.
 pub(super) async fn sync_store(cx: Rc<Gateway>) {
-    let mut follower = StoreSync {
+    let mut sync = StoreSync {
         cx,
         upstream: None,
         listed: false,
@@ -66,7 +66,7 @@
         retry_at: Instant::default(),
     };
     loop {
-        follower.step().await;
+        sync.step().await;
     }
 }
 
@@ -193,17 +193,17 @@
     async fn read_store(&mut self) {
         let sent = self.cx.now();
         let after = self.cx.mirror.borrow().revision();
-        let unseen = match self.cx.cfg.uses_operator_config {
+        let unstored = match self.cx.cfg.uses_operator_config {
             true => accepted_changes::unstored_changes(&self.cx),
             false => Vec::new(),
         };
-        let unseen: Vec<Revision> = unseen.iter().map(|c| c.revision).collect();
+        let unstored: Vec<Revision> = unstored.iter().map(|c| c.revision).collect();
         let response = match self.listed {
             false => self.cx.store.list().await,
             true => self.cx.store.watch(after, WATCH_WAIT).await,
         };
         match response {
-            Ok(update) => self.on_store_response(&update, sent, &unseen).await,
+            Ok(update) => self.on_store_response(&update, sent, &unstored).await,
             Err(StoreError::HistoryGone | StoreError::Reverted) => {
                 self.cx.metrics.on_store_call("history_gone");
                 warn!(self.cx.log, "store history gone"; "after" => after.number, "era" => after.era.0);
@@ -220,7 +220,7 @@
         &mut self,
         update: &StoreUpdate,
         sent: Instant,
-        unseen: &[Revision],
+        unstored: &[Revision],
     ) {
         let cx = &self.cx;
         cx.metrics.on_store_call("answered");
@@ -251,7 +251,7 @@
         let is_empty = update.items.is_empty() && !is_list;
         self.listed = true;
         apply_update(cx, update, is_list, cx.cfg.peers);
-        let is_lost = |change: &Arc<Change>| unseen.contains(&change.revision);
+        let is_lost = |change: &Arc<Change>| unstored.contains(&change.revision);
         if is_list || is_empty {
             // A change that was in force before the call was sent would be part of the response.
             let mut lost = accepted_changes::unstored_changes(cx);
--- a/src/edge/store_updates.rs
+++ b/src/edge/store_updates.rs
@@ -129,7 +129,7 @@
     is_list: bool,
 ) -> Option<saved_state::SavedState> {
     let mut changes = Vec::new();
-    let mut saved_state = None;
+    let mut recovered = None;
     let own = items.iter().filter_map(|i| own::decode(i).map(|e| (i, e)));
     for (item, entry) in own {
         match entry {
@@ -137,7 +137,7 @@
                 cx.peers.borrow_mut().add_address(cx.now(), address);
             }
             Ok(OwnEntry::Prompts(saved)) if is_list => {
-                saved_state = Some(saved_state::decode(cx, &saved));
+                recovered = Some(saved_state::decode(cx, &saved));
             }
             Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.uses_operator_config => {
                 accepted_changes::apply_snapshot(cx, *snapshot);
@@ -165,7 +165,7 @@
     for change in changes {
         accepted_changes::apply_change(cx, change);
     }
-    saved_state
+    recovered
 }
 
 fn log_undecodable(cx: &Gateway, item: &StoreItem, why: &str) {
