--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -137,8 +137,8 @@
     let unstored = accepted_changes::unstored_entries(cx, revision);
     let mut cache = cx.response_cache.borrow_mut();
     let is_same = |a: &&CachedResponse| a.after == after && a.revision == revision;
-    // Changes that have not been read back from the store yet are not part of a revision, so a response
-    // with such changes is not taken from the cache.
+    // Changes that have not been read back from the store yet are not part of a revision, so the cache is
+    // not used while there are any.
     if let Some(cached) = cache.0.iter().find(is_same).filter(|_| unstored.is_empty()) {
         return Ok(cached.body.clone());
     }
--- a/src/edge/store_sync.rs
+++ b/src/edge/store_sync.rs
@@ -34,7 +34,7 @@
 
 /// Initial pause between a reader's calls while the store does not answer; doubled after each failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(40);
-/// Maximum of that pause, before jitter.
+/// Maximum pause between a reader's calls while the store does not answer, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Pause before the next request after a reader failed or returned nothing useful, or while no source
@@ -49,8 +49,11 @@
 /// State of this router's synchronization with the store.
 struct StoreSync {
     cx: Rc<Gateway>,
+    /// Open connection to the reader that was asked last.
     upstream: Option<PeerConn>,
+    /// Whether the store's content has been listed or received from a peer.
     listed: bool,
+    /// Pause after the next failed call to the store if this router is a reader, before jitter.
     backoff: Duration,
     /// Earliest time of the next call to the store.
     retry_at: Instant,
