--- a/src/edge/stream.rs
+++ b/src/edge/stream.rs
@@ -129,7 +129,7 @@
         body,
         splitter: EventSplitter::default(),
         conn,
-        guard: guard,
+        guard,
         facts,
     });
     match next_unsent(cx, &mut source, call.last_event, until).await {
