--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! How many calls targets may have, and when callers that are not served should come back.
+//! Call limits of targets, and retry delays of refused callers.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     admission
 }
 
-/// Short calls may queue at a target, as a slot comes free at once; long ones may not.
+/// Short calls may queue at a target, as a slot becomes free at once; long ones may not.
 #[rstest]
 #[case::plain(ms(15), 6, 18)]
 #[case::slow_plain(ms(60), 6, 9)]
@@ -61,7 +61,8 @@
     assert_eq!(limit.max_calls(16, surges), 14, "some are for others");
 }
 
-/// A pause never exceeds what a caller heeds, a third of its time, and callers are spread.
+/// The retry delay never exceeds a third of the caller's waiting time, which is what callers heed,
+/// and jitter spreads callers that were refused together.
 #[test]
 fn a_refused_caller_comes_back_when_the_shortage_may_be_over() {
     let mut admission = learned(ms(500));
@@ -102,8 +103,8 @@
     assert_eq!(wait_for_config(ms(age), deadline.map(ms)), wait.map(ms));
 }
 
-/// Sends calls of some accounts, each at its rate a second, for some seconds; returns how many of each
-/// were found to surge.
+/// Sends calls of several accounts, each at its rate in calls per second, from `from_s` to `to_s`.
+/// Returns the number of surging calls of each account.
 fn surging(admission: &mut Admission, from_s: u64, to_s: u64, rates: &[u64]) -> Vec<u64> {
     let mut found = vec![0; rates.len()];
     for t in from_s * 1_000..to_s * 1_000 {
@@ -144,7 +145,7 @@
     assert_eq!(surging(&mut admission, 10, 14, &[40, 4, 10]), [0, 0, 0]);
 }
 
-/// Each of these routers with all of them, itself first.
+/// Returns the cold shares of each router. Each one lists all routers, itself first.
 fn cold_shares(routers: usize, rule: ColdRule) -> Vec<ColdShares> {
     let name = |n: usize| VmHash::from(&format!("vm-{n}").parse().unwrap());
     let of = |me: usize| {
@@ -156,7 +157,8 @@
     (0..routers).map(of).collect()
 }
 
-/// Whatever asks for it, a cold target gets what it bears in each second, and half of the bound at most.
+/// However many routers have calls for it, a cold target receives in any second no more than it can
+/// serve, and at most half of the bound (but one call where the bound allows one).
 #[rstest]
 #[case::one_router(1, 8.9, 1.5, 5.0, 8)]
 #[case::few_routers(3, 8.9, 1.5, 5.0, 6)]
--- a/tests/decisions/calls.rs
+++ b/tests/decisions/calls.rs
@@ -1,4 +1,4 @@
-//! Outcomes, repeats and their budget.
+//! Outcomes of attempts, retries and the retry budget.
 
 use std::time::Duration;
 
@@ -38,9 +38,10 @@
     );
 }
 
-/// Three of four routers stopped or were killed within 2.6 s. What each had left of the fleet's repeats passed to the others at once, while
-/// what it had taken still counted: the parts came to 2.1 in all, `"share":1.0` at the last one 30 ms after the
-/// third had begun to stop, and 175 repeats were sent where 167 were allowed.
+/// Three of four routers stopped or were killed within 2.6 s. The others took over the rest of each
+/// one's share of the fleet's retries at once, while the retries that it had sent still counted.
+/// The shares added up to 2.1: the last router had `"share":1.0` 30 ms after the third had begun to
+/// stop, and 175 retries were sent where 167 were allowed.
 #[test]
 fn parts_of_routers_that_go_are_not_used_again_within_a_window() {
     let window = Duration::from_secs(10);
@@ -57,12 +58,13 @@
         let now = share.usable(at(ms), window);
         assert!((now - usable).abs() < 1e-9, "{now} at {ms}");
     }
-    // A router that comes takes its part at once.
+    // A router that joins reduces the share at once.
     share.on_share(at(33_000), 0.5, window);
     assert!((share.usable(at(33_000), window) - 0.5).abs() < 1e-9);
 }
 
-/// Nobody knows what a life before this one repeated; after standing still for a window the others may have taken over.
+/// A router does not know what its previous incarnation retried. While it stands still for a
+/// window, other routers may have taken over its share.
 #[test]
 fn a_router_that_starts_or_stood_still_has_a_tenth_of_its_part_for_a_window() {
     let window = Duration::from_secs(10);
@@ -86,7 +88,8 @@
 }
 
 proptest! {
-    /// Routers that start, stop, die and see one another late keep the budget together as well, in every window.
+    /// Routers that start, stop, crash and detect one another late also keep the budget together,
+    /// in every window.
     #[test]
     fn routers_that_come_and_go_keep_the_budget(
         changes in prop::collection::vec((0_u64..40_000, 0_usize..5, any::<bool>()), 0..30),
@@ -112,7 +115,7 @@
                 };
                 alive_at.push((ms, lives.iter().flatten().count()));
             }
-            // Who goes is missed at once or late; who comes is heard of before it has a part.
+            // A stop is detected at once or late; a router that starts is known before it has a share.
             let seen = alive_at.iter().rev().find(|(at, _)| at + sees_after <= ms);
             let seen = seen.map_or(ROUTERS, |(_, n)| *n);
             let now = alive_at.last().map_or(ROUTERS, |(_, n)| *n);
@@ -132,7 +135,8 @@
     }
 
 
-    /// Routers that share the budget by their traffic stay within it together, in every window.
+    /// Routers that share the budget in proportion to their traffic stay within it together, in
+    /// every window.
     #[test]
     fn all_routers_together_keep_the_budget(
         calls in prop::collection::vec((0_u64..20_000, 0_usize..4), 1..400),
--- a/tests/decisions/changes.rs
+++ b/tests/decisions/changes.rs
@@ -7,8 +7,8 @@
 };
 
 proptest! {
-    /// Changes arrive in any order, twice, from relays that lag or lie, or from a store that
-    /// was set back and went on differently.
+    /// Changes arrive in any order and twice, from relays that lag or send false ones, or from a
+    /// store that was reverted and then continued differently.
     #[test]
     fn a_configuration_never_reverts(steps in prop::collection::vec((0usize..24, any::<bool>()), 1..120)) {
         let (mut truth, mut other) = (ConfigLog::default(), ConfigLog::default());
--- a/tests/decisions/claims.rs
+++ b/tests/decisions/claims.rs
@@ -1,4 +1,4 @@
-//! At most once.
+//! Claims on idempotency keys, by which calls run at most once.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 };
 
 proptest! {
-    /// Keepers of one shard write, lose answers, pause and wake with an old view.
+    /// Three owners of one shard write, lose responses, pause, and resume with an outdated view.
     #[test]
     fn a_key_is_claimed_by_one_request_alone(
         steps in prop::collection::vec((0usize..3, 0u8..4, 1u128..40, 0u8..10), 1..200),
@@ -27,7 +27,8 @@
                 kind: ClaimKind::Claim,
                 outcome: 0,
             };
-            // Lost answers lead to a reload, as an unsettled write does in the daemon.
+            // After a lost response the owner reloads the shard, as the daemon does after a write with
+            // unknown result.
             for _ in 0..3 {
                 let batch = keepers[keeper].decide(&[step], 0);
                 let verdict = batch.verdicts[0];
@@ -46,12 +47,13 @@
     }
 }
 
-/// The chain of one shard in the store, written by compare-and-swap.
+/// The chunks of one shard in the store, written by compare-and-swap.
 #[derive(Default)]
 struct Store(Vec<(u64, Chunk)>);
 
 impl Store {
-    /// Writes if the keeper's view of the chunk is the store's.
+    /// Writes the batch if the owner's view of the chunk is the store's. Returns whether it was
+    /// written.
     fn swap(&mut self, keeper: &ClaimShard, batch: &Batch) -> bool {
         let known = self.0.iter().position(|(n, _)| *n == batch.number);
         match known {
@@ -112,7 +114,7 @@
         take(step(2, ClaimKind::Claim, 0), 4_002),
         ClaimVerdict::Ran(201)
     );
-    // What ran cannot be given back.
+    // A call that ran cannot be released.
     assert_eq!(
         take(step(1, ClaimKind::Release, 0), 4_003),
         ClaimVerdict::Ran(201)
@@ -132,7 +134,7 @@
     }
 }
 
-/// A shard after some steps, at second 100.
+/// Returns a shard after these steps, each recorded at second 100.
 fn after(steps: &[ClaimStep]) -> ClaimShard {
     let mut shard = ClaimShard::default();
     for step in steps {
@@ -142,7 +144,7 @@
     shard
 }
 
-/// The store lost what a keeper had recorded.
+/// The store was reverted to a copy that lacks steps which the owner had recorded.
 #[rstest]
 #[case::claim(&[step(1, 7, ClaimKind::Claim)], &[], 110, ClaimVerdict::Running)]
 #[case::outcome(&[step(1, 7, ClaimKind::Claim), step(1, 7, ClaimKind::Done)], &[], 110, ClaimVerdict::Ran(200))]
@@ -163,7 +165,8 @@
     let again = [step(1, 9, ClaimKind::Claim)];
     let batch = shard.decide(&again, now_s);
     assert_eq!(batch.verdicts, [expected]);
-    // Whoever reads what is written then decides the same, and it is written once.
+    // A router that reads the written chunk decides the same as the owner, and the steps are
+    // written once.
     let mut reader = ClaimShard::default();
     reader.load(batch.number, batch.chunk.clone());
     let other = [step(1, 10, ClaimKind::Claim)];
--- a/tests/decisions/evacuation.rs
+++ b/tests/decisions/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data halls whose targets are to get nothing.
+//! Evacuated data halls, whose targets receive no calls.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const STREAM: CallKind = CallKind::Stream(StreamRepeats::Resumed);
 
-/// Two targets in each of two halls.
+/// Returns a dispatcher with two targets in each of two data halls.
 fn two_halls() -> Dispatcher {
     let mut d = dispatcher(4);
     for n in 2..4 {
@@ -34,7 +34,7 @@
     }
 }
 
-/// The halls that calls reach.
+/// Returns the data halls that forty calls reach.
 fn reached(d: &mut Dispatcher, from_ms: u64) -> Vec<String> {
     let send = |n: u64| {
         let plan = plan(STREAM, vec![part(from_ms + n, 3_000), part(1, 50)], n);
@@ -56,7 +56,7 @@
             .on_hall_change(at(10), hall("barn"), true, StoreRevision::first_era(3))
     );
     assert_eq!(reached(&mut d, 20), ["yard"]);
-    // A target that starts there gets nothing either.
+    // A target that starts there receives no calls either.
     let put = ListChange::Put(in_barn(5));
     d.discovery
         .on_change(at(100), put, StoreRevision::first_era(4));
@@ -68,7 +68,7 @@
     assert!(reached(&mut d, 10_000).contains(&"barn".to_owned()));
 }
 
-/// What targets of the hall have read is still taken from there.
+/// Prompts that targets of an evacuated data hall have read are still fetched from them.
 #[test]
 fn prompts_are_taken_from_an_evacuated_hall() {
     let mut d = two_halls();
@@ -107,7 +107,8 @@
     );
 }
 
-/// A statement may come late, twice, by a list or by a change, and after the store forgot its history.
+/// An evacuation or its end may arrive late or twice, in a list or as a change, and after the store
+/// lost its history.
 #[rstest]
 #[case::late_end(&[(true, 5), (false, 3)], true)]
 #[case::late_beginning(&[(true, 5), (false, 7), (true, 5)], false)]
@@ -137,7 +138,7 @@
     assert_eq!(changed, [hall("yard"), hall("barn")]);
     assert!(halls.is_evacuated(&hall("yard")) && !halls.is_evacuated(&hall("barn")));
     assert_eq!(halls.taken_back_at(&hall("barn")), Some(at(10)));
-    // An older list knows nothing of what was stated since.
+    // An older list lacks evacuations that began after it.
     halls.on_change(at(20), hall("shed"), true, StoreRevision::first_era(9));
     assert!(
         halls
@@ -147,7 +148,7 @@
     assert!(halls.is_evacuated(&hall("shed")) && halls.is_evacuated(&hall("yard")));
 }
 
-/// The age of an evacuation is told to operators.
+/// Operators see the age of an evacuation, which a repeated statement must not reset.
 #[test]
 fn a_hall_that_is_stated_anew_was_evacuated_since_the_first_time() {
     let mut halls = Evacuations::default();
--- a/tests/decisions/health.rs
+++ b/tests/decisions/health.rs
@@ -1,4 +1,4 @@
-//! Which targets are left alone.
+//! Targets that receive no calls because of failures.
 
 use std::time::Duration;
 
@@ -57,8 +57,8 @@
     assert_eq!(health.status(at(501), &target), HealthStatus::OnTrial);
 }
 
-/// Incidents of both sites: each router sent several calls to a target that had gone dark before
-/// the first one's time was up.
+/// In incidents of both sites, each router sent several calls to a target that had become
+/// unresponsive before the first one timed out.
 #[test]
 fn a_target_that_gives_no_sign_of_life_gets_no_further_call() {
     let mut d = dispatcher(3);
@@ -95,8 +95,8 @@
     assert_eq!(d.health.status(at(5_000), &suspected), HealthStatus::Well);
 }
 
-/// Grown sapporo, incident bc0b: each of 85 routers lost calls to a target that went down and up,
-/// one after the other.
+/// Each of 85 routers, one after the other, lost calls to a target that went down and up (grown
+/// sapporo, incident bc0b).
 #[test]
 fn a_target_that_breaks_a_call_off_at_once_is_left_alone_by_all_routers() {
     let target: TargetId = "t1".parse().unwrap();
@@ -112,7 +112,7 @@
         .outages
         .on_notices(at(1_200), &hub.outages.notices(at(1_200)));
     assert_eq!(other.status(at(1_200), &target), HealthStatus::Suspected);
-    // What comes back to where it began makes it last no longer.
+    // A notice that returns to the router that sent it does not extend the outage.
     first
         .outages
         .on_notices(at(1_300), &other.outages.notices(at(1_300)));
@@ -120,7 +120,7 @@
         assert_eq!(health.status(at(1_900), &target), HealthStatus::Well);
     }
     assert!(first.outages.notices(at(1_900)).is_empty());
-    // The next time it goes down is another outage.
+    // The next time that the target goes down is another outage.
     hub.outages
         .on_broke(at(4_000), hash, Duration::from_millis(4));
     other
@@ -129,8 +129,8 @@
     assert_eq!(other.status(at(4_100), &target), HealthStatus::Suspected);
 }
 
-/// Large sapporo, seconds 15 to 17: of 1,300 calls a second 550 met one of 40 targets that were down, as each of
-/// 295 routers had to find each of them out, and again after 0.8 s.
+/// Of 1,300 calls a second, 550 reached one of 40 targets that were down, as each of 295 routers
+/// had to detect each of them, and again after 0.8 s (large sapporo, seconds 15 to 17).
 #[test]
 fn a_target_that_goes_on_refusing_is_left_alone_for_longer() {
     let target: TargetId = "t1".parse().unwrap();
@@ -155,7 +155,8 @@
     );
 }
 
-/// Large sapporo, second 15: prompts were to be taken from engines that were down, and read again.
+/// Prompts were to be fetched from engines that were down, and were read again (large sapporo,
+/// second 15).
 #[test]
 fn a_prompt_is_not_taken_from_a_target_that_is_down() {
     let mut d = dispatcher(3);
@@ -170,7 +171,7 @@
     assert!(second.fetch_from.is_none());
 }
 
-/// An answer that is lost after the call ran is no outage.
+/// A response that is lost after the call ran is no outage.
 #[test]
 fn a_connection_that_breaks_late_is_no_outage() {
     let target: TargetId = "t1".parse().unwrap();
@@ -182,7 +183,8 @@
     assert_eq!(health.status(at(1_000), &target), HealthStatus::Well);
 }
 
-/// Reports replace one another: a peer that stops to suspect a target, or names it twice, counts as it says last.
+/// A peer's report replaces its previous one: a target that it no longer names is no longer
+/// suspected by that peer, and one that it names twice counts once.
 #[test]
 fn the_last_report_of_a_peer_counts_once() {
     let mut d = dispatcher(2);
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -10,7 +10,8 @@
 };
 
 proptest! {
-    /// However demand is spread and keepers change, grants and floors stay under the limit.
+    /// However demand is spread, and also when the owner is replaced, grants and floors stay under
+    /// the limit.
     #[test]
     fn shares_stay_under_the_limit(
         demands in prop::collection::vec((0usize..12, 0u64..200_000, 0u32..300), 1..300),
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What the library decides, without a clock or a socket.
+//! Tests of the library's decisions, without a clock or a socket.
 
 mod admission;
 mod calls;
--- a/tests/decisions/many_targets.rs
+++ b/tests/decisions/many_targets.rs
@@ -1,4 +1,4 @@
-//! Where calls go before very many targets.
+//! Placement of calls among very many targets.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -12,7 +12,8 @@
 
 use crate::{RESUMABLE, at, dispatcher, part, plan, record};
 
-/// A call whose prompt shares one part with all, one with some and has one of its own.
+/// Returns a call whose prompt has one part that all calls share, one that calls on the subject
+/// share, and one of its own.
 fn call(subject: u64, own: u64) -> CallPlan {
     let prompt = vec![
         part(1, 512),
@@ -22,14 +23,14 @@
     plan(RESUMABLE, prompt, own)
 }
 
-/// What calls came to that were sent one after the other, each of which lasts for `lasts`.
+/// Result of calls that were sent one after the other, each of which took `lasts`.
 #[derive(Debug)]
 struct Served {
-    /// Tokens that targets had to read.
+    /// Number of prompt tokens that targets had to read.
     read: u64,
-    /// The most calls that one target had.
+    /// Maximum number of calls in progress at one target.
     most: u32,
-    /// The most targets that were weighed for a call.
+    /// Maximum number of targets scored for one call.
     weighed: usize,
 }
 
@@ -55,8 +56,9 @@
     served
 }
 
-/// A choice took 0.36 ms before 600 targets, 5 ms before 9,695 and 8.6 ms before 19,400, as all were weighed: 42 and 72 ms on a tenth of a
-/// core. The `attempt` lines tell how many are weighed.
+/// When all targets were scored, a choice took 0.36 ms with 600 targets, 5 ms with 9,695 and 8.6 ms
+/// with 19,400; on a tenth of a core the latter two took 42 and 72 ms. The `attempt` log lines
+/// state how many targets are scored.
 #[rstest]
 #[case::the_whole_fleet(9_695)]
 #[case::twice_that(19_400)]
@@ -66,8 +68,8 @@
     assert!(served.weighed <= 64, "{served:?}");
 }
 
-/// Weighing few is as good as weighing all: just above the size from which on few are, calls read no more and no target has
-/// more of them than just below it.
+/// Scoring preselected targets is as good as scoring all: just above the number of targets from which
+/// targets are preselected, no more tokens are read and no target has more calls than just below it.
 #[test]
 fn few_targets_are_as_good_as_all() {
     let lasts = Duration::from_millis(800);
@@ -91,13 +93,14 @@
     }
 }
 
-/// Routers that have not heard of one another let the same few targets read a prompt that nobody has read.
+/// Routers that have not yet received anything from one another let the same few targets read a
+/// prompt that no target has read.
 #[test]
 fn routers_that_know_nothing_of_each_other_let_the_same_few_read_a_prompt() {
     let chosen: HashSet<TargetId> = (0..100)
         .map(|router| {
             let mut d = dispatcher(10_000);
-            // Each knows others that hold the prompt's beginning.
+            // Each router knows other targets that cache the prompt's beginning.
             let before = d.choose(at(0), &call(50 + router, router)).unwrap();
             d.on_end(at(10), &before, Some(Outcome::Good));
             let ticket = d.choose(at(20), &call(5, 1_000 + router)).unwrap();
@@ -107,7 +110,8 @@
     assert!(chosen.len() <= 4, "{chosen:?}");
 }
 
-/// Few that are weighed and found full or unsound are no reason to refuse a call, nor to send it to a suspect.
+/// When all preselected targets are full or unhealthy, the call is neither refused nor sent to a
+/// suspected target.
 #[test]
 fn where_none_of_the_few_is_of_use_all_are_weighed() {
     let mut d = dispatcher(1_500);
@@ -127,8 +131,9 @@
     assert_eq!(ticket.target.id, record(77).id);
 }
 
-/// What is saved for routers that start was not written at all before 10,000 targets: the list of them alone took more than the
-/// largest value. The log line `prompts not saved` stood there every two seconds.
+/// With 10,000 targets, the state saved for starting routers was not written at all: the list of
+/// targets alone exceeded the maximum size of a stored value. The log line `prompts not saved` appeared
+/// every two seconds.
 #[test]
 fn what_is_kept_of_targets_does_not_grow_with_them() {
     let kept = |targets: usize| {
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! Load, prompts and where calls go.
+//! Load, prompt caches and placement of calls.
 
 use std::collections::HashMap;
 
@@ -30,7 +30,7 @@
     near.on_send(&target, InProgress::one(Tokens(1)));
     near.on_peer(at(0), peer.clone(), hall("yard"), other.own_counts());
     assert_eq!(near.total(&target).calls, 3);
-    // The peer adds up for the hall, with what we told it ourselves.
+    // The peer computes the hall's sum, which includes the counts that this router sent to it.
     other.on_peer(at(0), me.clone(), hall("yard"), near.own_counts());
     let sum = other.own_hall_sum(at(0)).counts;
     assert_eq!(sum.calls(), 3);
@@ -42,7 +42,7 @@
             tokens: Tokens(16)
         }
     );
-    // Once the sums stop to come, the peers' own counts are used again.
+    // When no more sums arrive, the peers' own counts are used again.
     near.on_tick(at(1_600));
     assert_eq!(near.total(&target).calls, 3);
     near.on_tick(at(9_000));
@@ -65,8 +65,8 @@
     }
 }
 
-/// Puente, releases: prompts of targets that left were read again by others though the first
-/// target still had them.
+/// During releases, prompts of targets that left were read again by others though the first target
+/// still had them (puente).
 #[test]
 fn a_prompt_is_taken_from_the_memory_of_a_target_that_leaves() {
     let mut d = dispatcher(3);
@@ -88,13 +88,14 @@
     assert_eq!(source, Some(first.target.id.clone()));
 }
 
-/// Grown puente, seconds 1 to 6: 209 of 2,180 calls reached targets with twice the mean load, as
-/// all prompts with the same beginning met at one target before routers heard of one another.
+/// 209 of 2,180 calls reached targets with twice the mean load, as all prompts with the same
+/// beginning were sent to one target before routers heard of one another (grown puente, seconds 1
+/// to 6).
 #[test]
 fn prompts_with_the_same_beginning_spread_before_anyone_hears_of_them() {
     let mut chosen = HashMap::new();
     for child in 0..60_u64 {
-        // Each router knows nothing but its own first call.
+        // Each router knows only its own first call.
         let mut d = dispatcher(20);
         let prompt = vec![part(1, 500), part(1_000 + child, 10_000), part(child, 50)];
         let ticket = d.choose(at(0), &plan(RESUMABLE, prompt, child)).unwrap();
@@ -125,7 +126,7 @@
     assert_eq!(full, 0, "there is room elsewhere");
 }
 
-/// A router alone knows its calls exactly: none goes beyond the limit by chance.
+/// A single router knows its calls exactly, so that none exceeds the limit by chance.
 #[test]
 fn a_limit_is_kept_exactly_where_counts_are_exact() {
     let mut d = dispatcher(1);
@@ -170,7 +171,7 @@
     for _ in 0..3 {
         d.health.on_outcome(at(0), &record(0).id, Outcome::Broken);
     }
-    // More than one target may carry while the other one is paused.
+    // More calls than one target may run while the other one is paused.
     for n in 0..40 {
         let call = plan(CallKind::Unsafe, Vec::new(), n);
         assert!(d.choose(at(1), &call).is_ok(), "call {n}");
@@ -202,7 +203,8 @@
     assert_eq!(cache.missing(&target, &prompt), Tokens(5));
 }
 
-/// A turn of a chat: a system prompt that others share, what was said before, and a new question.
+/// Returns a turn of a chat: a system prompt that other chats share, the earlier messages and a new
+/// question.
 fn turn(chat: u64, turns: u64) -> CallPlan {
     let mut prompt = vec![part(1, 400)];
     prompt.extend((0..=turns).map(|n| part(chat * 1_000 + n, 150)));
@@ -221,7 +223,7 @@
         let first = dispatcher(9).choose(at(0), &turn(chat, 0)).unwrap();
         let again = dispatcher(9).choose(at(0), &turn(chat, 5)).unwrap();
         assert_eq!(again.target.id, first.target.id, "chat {chat}");
-        // What was said before is there; the new question is not.
+        // The target has read the earlier messages but not the new question.
         assert_eq!(again.missing, Tokens(150));
     }
 }
@@ -240,7 +242,7 @@
     let told = d.cache.take_announcements(1_000, false);
     let of_chat = told.iter().filter(|(_, _, t)| *t == moved.target.id);
     assert_eq!(of_chat.count(), 5, "all parts but the request's own");
-    // A peer that was told finds it there.
+    // A peer that received the announcements finds the chat there.
     let mut peer = dispatcher(3);
     for (id, tokens, target) in told {
         let part = scaleford::prompt_cache::PromptPart { id, tokens };
@@ -285,7 +287,8 @@
         let target = (0..4).find(|i| record(*i).id == ticket.target.id).unwrap();
         calls[target] += 1;
     }
-    // Fourteen calls to each 64 slots on average, two times 0.4 above it at the most, and three.
+    // The mean is 40 calls per 64 slots, so 20 at this target. With a cap factor of 2, of which 0.4 is used,
+    // at most 1.4 times the mean is allowed, and three calls.
     assert!(f64::from(calls[0]) <= 20.0 * 1.4 + 3.0, "{calls:?}");
     assert!(calls[1..].iter().all(|c| *c > calls[0]), "{calls:?}");
 }
@@ -310,7 +313,7 @@
     assert!(at_small == 1 || work <= Tokens(1_000), "{work}");
 }
 
-/// Two routers that do not hear of one another yet stay inside twice the mean together.
+/// Two routers that do not know of each other yet stay within twice the mean together.
 #[test]
 fn routers_that_do_not_know_of_one_another_stay_near_the_mean() {
     let mut routers = [dispatcher(10), dispatcher(10)];
@@ -324,8 +327,8 @@
     assert!(*most <= 2 * 40 + 3, "{calls:?}");
 }
 
-/// Grown puente trouble-1: after all routers had lost power, what each told before it knew the others
-/// was lost, and 0.6 M tokens were read again.
+/// After all routers had lost power, announcements that each had sent before it knew its peers were
+/// lost, and 0.6 M tokens were read again (grown puente trouble-1).
 #[test]
 fn a_young_router_tells_once_more_what_it_told_before_it_knew_its_peers() {
     let mut d = dispatcher(3);
--- a/tests/decisions/prompts.rs
+++ b/tests/decisions/prompts.rs
@@ -1,4 +1,4 @@
-//! What is kept of prompts for routers that start.
+//! Snapshots of prompt caches, saved for starting routers.
 
 use scaleford::{
     ids::TargetId,
@@ -7,7 +7,7 @@
     units::Tokens,
 };
 
-/// Parts with ids as hashes have them, each at four of 200 targets.
+/// Returns locations of parts whose ids are distributed like hashes, each at four of 200 targets.
 fn held(parts: u64) -> Vec<PartLocation> {
     let target = |n: u64| -> TargetId { format!("i-{n:010x}").parse().unwrap() };
     let id = |n: u64| PartId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -24,8 +24,8 @@
     copies
 }
 
-/// Large sapporo trouble-1: 295 routers that start together read half a megabyte each before they have a
-/// configuration, 1.7 s.
+/// 295 routers that start together read half a megabyte each before they have a configuration,
+/// which takes 1.7 s (large sapporo trouble-1).
 #[test]
 fn what_is_kept_of_prompts_takes_few_bytes_a_copy() {
     let held = held(2_000);
@@ -45,7 +45,8 @@
     assert_eq!(back.len(), 50);
 }
 
-/// What an earlier version kept under the same key, or a value that was cut, is no reason to fail.
+/// A value that an earlier version saved under the same key, or a truncated one, must not cause a
+/// failure.
 #[test]
 fn places_of_no_part_are_passed_over() {
     let (parts, target) = (0_u8, "t1".parse::<TargetId>().unwrap());
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back, as targets ended under them.
+//! Requests that routers quarantine because targets crashed under them.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     TargetHash::from(&id)
 }
 
-/// One under which so many targets ended, a second apart.
+/// Returns the state after `n` targets crashed under `REQUEST`, a second apart.
 fn after_endings(n: usize) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for i in 0..n {
@@ -44,14 +44,15 @@
     assert!(quarantine.time_left(at(3_000), Fingerprint(1)).is_none());
 }
 
-/// A request ended a target through each of three routers, none of which saw more than one ending.
+/// A request crashed a target through each of three routers, none of which saw more than one crash.
 #[test]
 fn endings_at_several_routers_are_one_count_in_whatever_order_they_are_heard_of() {
     let mut routers: Vec<Quarantine> = (0..3).map(|_| Quarantine::default()).collect();
     for (i, router) in routers.iter_mut().enumerate() {
         router.on_crash(at(100), REQUEST, target(i));
     }
-    // Each tells the others, also what it heard itself, and more than once.
+    // Each router sends its notices to the others, including those that it received, and more than
+    // once.
     for _ in 0..3 {
         for from in 0..3 {
             let told = routers[from].crash_notices(at(150));
@@ -80,7 +81,7 @@
     assert!(there.time_left(at(1_100), REQUEST).is_none());
 }
 
-/// A target that starts again under its name can end once more.
+/// A target that restarts under its name can crash again.
 #[test]
 fn endings_of_one_name_count_where_they_lie_apart() {
     let mut quarantine = Quarantine::default();
@@ -90,7 +91,8 @@
     assert!(quarantine.time_left(at(5_000), REQUEST).is_some());
 }
 
-/// In the play of the incident up to eight calls broke off beside the request each time.
+/// When the incident was replayed, up to eight other calls broke off together with the request each
+/// time.
 #[test]
 fn calls_beside_it_are_let_through() {
     let mut quarantine = Quarantine::default();
@@ -99,7 +101,7 @@
         let now = at(ending * 700);
         quarantine.on_crash(now, REQUEST, target(ending as usize));
         for n in 0..8 {
-            // Some of those that broke off before come back and meet another ending.
+            // Some of the calls that broke off before are sent again and meet another crash.
             let again = ending.saturating_sub(u64::from(n < 2));
             quarantine.on_crash(now, beside(again, n), target(ending as usize));
         }
@@ -109,7 +111,7 @@
     assert!(quarantine.time_left(now, REQUEST).is_some());
 }
 
-/// Callers that all ask the same, at five targets that go down together for another reason.
+/// Callers all send the same request, to five targets that go down together for another reason.
 #[test]
 fn a_request_that_was_just_answered_is_not_suspected() {
     let mut quarantine = Quarantine::default();
@@ -170,7 +172,7 @@
     assert_eq!(quarantine.suspect_count(), 0);
 }
 
-/// An operator removes the entry of a request that was mended.
+/// An operator removes the entry of a request that was fixed.
 #[test]
 fn a_request_that_is_let_through_is_counted_anew() {
     let mut quarantine = after_endings(3);
@@ -179,7 +181,7 @@
     assert!(quarantine.time_left(at(4_000), REQUEST).is_none());
 }
 
-/// All that is remembered stays below some thousand entries, and what was suspected most often stays.
+/// The state stays below a few thousand entries, and the most suspected requests are kept.
 #[test]
 fn what_is_remembered_is_bounded() {
     let mut quarantine = after_endings(2);
@@ -209,7 +211,8 @@
     assert!(quarantine.crash_notices(at(0) + long).is_empty());
 }
 
-/// While no entry tells of a request that is held back, routers tell one another; one that starts hears of it from any.
+/// While the store has no entry of a quarantined request, routers notify one another of it, and a
+/// starting router learns of it from any peer.
 #[test]
 fn what_no_entry_tells_of_is_told_by_peers_until_one_does() {
     let mut first = after_endings(3);
@@ -217,7 +220,8 @@
     let told = first.quarantine_notices(at(60_000));
     assert_eq!(started.on_quarantine_notices(at(60_010), &told), [REQUEST]);
     assert!(started.on_quarantine_notices(at(60_020), &told).is_empty());
-    // It does not last longer for it, however often it is told, but for the time on the way.
+    // Repeated notices do not extend the quarantine, except by the time for which they are in
+    // transit.
     for ms in (60_000..120_000).step_by(400) {
         first.on_quarantine_notices(at(ms + 1), &started.quarantine_notices(at(ms)));
         started.on_quarantine_notices(at(ms + 1), &first.quarantine_notices(at(ms)));
@@ -225,7 +229,7 @@
     let left = QUARANTINE_DURATION - Duration::from_secs(118) + Duration::from_secs(1);
     assert!(first.time_left(at(120_000), REQUEST).unwrap() <= left);
     assert!(started.time_left(at(120_000), REQUEST).unwrap() <= left);
-    // One of them enters it, though it saw no ending itself.
+    // One of the routers writes the entry, though it saw no crash itself.
     assert!(started.unsaved().is_empty());
     assert!(started.mark_unsaved(|request| request == REQUEST));
     assert_eq!(started.unsaved(), [REQUEST]);
@@ -236,7 +240,8 @@
     assert!(!first.mark_unsaved(|_| true));
 }
 
-/// A request that a target answered is not held back by what peers tell, as by endings that they tell of.
+/// A request that a target answered is not quarantined because of peers' quarantine notices, nor
+/// because of their crash notices.
 #[test]
 fn an_answer_outweighs_what_peers_hold_back() {
     let told = after_endings(3).quarantine_notices(at(5_000));
@@ -246,7 +251,8 @@
     assert!(answered.time_left(at(5_200), REQUEST).is_none());
 }
 
-/// Entries of held requests were lost with the store, so routers that started later sent such requests on.
+/// Entries of quarantined requests were lost with the store, so routers that started later
+/// forwarded such requests.
 #[test]
 fn a_held_request_is_entered_again_after_the_store_was_set_back() {
     let mut quarantine = after_endings(3);
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -1,4 +1,4 @@
-//! Which route and which account a call belongs to.
+//! Matching of calls to routes and accounts.
 
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
     assert!((0..1_000).all(|h| name(h) != "none"));
 }
 
-/// The operators' own configuration as calls see it.
+/// The operators' own configuration, applied to calls.
 mod own {
     use scaleford::{
         config::{
@@ -96,7 +96,7 @@
             concurrency: 3,
         };
         fleet.accounts.insert("farm".parse().unwrap(), account);
-        // A model and a service of one name are two pools.
+        // A model and a service of the same name are two pools.
         fleet
             .models
             .insert("desk".parse().unwrap(), Model::default());
@@ -158,7 +158,8 @@
             r#", {"role": "assistant", "content": "Two."}, {"role": "user", "content": "Three?"}"#;
         let later = turn(more);
         assert_eq!(first.conversation, later.conversation);
-        // The beginning is the same; the answer counts with its question, where both were read.
+        // The first part stays the same. The answer counts with its question, as the target has
+        // read both.
         let (one, two) = (first.prompt[0], later.prompt[0]);
         assert_eq!(one.id, two.id);
         assert!(two.tokens > one.tokens);
@@ -199,14 +200,15 @@
                 ..RoutingKey::default()
             };
             let is_model = config().route(&asked).is_some();
-            // The first is what chats are looked up by; no request line can hold it.
+            // Chats look up their route by the first of these paths, which no request line can contain.
             assert_eq!(is_model, path == "model desk whole");
             assert!(!is_model || path.parse::<hyper::Uri>().is_err());
         }
     }
 }
 
-/// A configuration that was written after the store had been set back has a lower revision than the one in force.
+/// A configuration that was written after the store was reverted has a lower revision than the one
+/// in force.
 #[rstest]
 #[case::written_after_a_set_back((3, 4), (2, 16), true)]
 #[case::from_the_older_copy((1, 3), (2, 16), false)]
--- a/tests/decisions/set_back.rs
+++ b/tests/decisions/set_back.rs
@@ -1,4 +1,4 @@
-//! What routers know when the store comes back from an older copy.
+//! Routers' state when the store is reverted to an older copy.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,12 +16,12 @@
 const BEFORE: StoreEra = StoreEra(1);
 const AFTER: StoreEra = StoreEra(2);
 
-/// Writes of the store before it was set back.
+/// Returns a revision of the store before it was reverted.
 fn before(number: u64) -> StoreRevision {
     StoreRevision::new(BEFORE, number)
 }
 
-/// Writes of it as it was found then.
+/// Returns a revision of the store after it was reverted.
 fn after(number: u64) -> StoreRevision {
     StoreRevision::new(AFTER, number)
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// A life of a target.
+/// Returns the record of an instance of a target, which started at `birth`.
 fn life(n: usize, birth: u64) -> TargetRecord {
     let name: TargetName = format!("t{n}").parse().unwrap();
     TargetRecord {
@@ -46,7 +46,7 @@
     records.into_iter().map(|r| (r, revision)).collect()
 }
 
-/// Targets that are called.
+/// Returns the ids of the targets that receive calls.
 fn called(discovery: &Discovery) -> Vec<String> {
     let service: ServiceName = "writer".parse().unwrap();
     let targets = discovery.serving(&service).iter();
@@ -55,14 +55,14 @@
     names
 }
 
-/// When the store is set back, and when what it lost has been written again.
+/// Instant at which the store is reverted. What it lost counts as written again at `settled()`.
 const SET_BACK: Instant = Instant(Duration::from_secs(10));
 
 fn settled() -> Instant {
     SET_BACK + RETURN_GRACE
 }
 
-/// The older copy says otherwise than what was known, and nothing is written again.
+/// The older copy differs from what routers knew, and nothing is written again.
 #[rstest]
 #[case::target_that_leaves(vec![record(1)], vec![leaving(1)], vec![record(1)], &[], &["t1"])]
 #[case::target_that_left(vec![record(1)], vec![], vec![record(1)], &[], &["t1"])]
@@ -91,7 +91,7 @@
     assert!(!discovery.take_settled(settled()), "once");
 }
 
-/// A change, other than a list, was written after the set-back.
+/// A change, other than a list, is written after the store was reverted.
 #[rstest]
 #[case::leaves(ListChange::Put(leaving(1)), &["t2"])]
 #[case::is_back(ListChange::Put(TargetRecord { slots: 9, ..record(3) }), &["t1", "t2", "t3"])]
@@ -132,7 +132,7 @@
     assert_eq!(discovery.evacuations().is_evacuated(&yard), at_last);
 }
 
-/// The store as it is written and set back.
+/// A store that can be written and reverted.
 #[derive(Default)]
 struct Store {
     items: BTreeMap<String, StoreItem>,
@@ -155,7 +155,7 @@
         self.changes.push(item);
     }
 
-    /// Loses the last writes. Items are read as of the new era from then on.
+    /// Drops the last `lost` writes. From then on, items are read as of the new era.
     fn set_back(&mut self, lost: usize) {
         let kept = self.changes.len().saturating_sub(lost);
         let kept: Vec<StoreItem> = self.changes.drain(..).take(kept).collect();
@@ -180,7 +180,7 @@
         }
     }
 
-    /// A reader lists the store, or goes on watching it.
+    /// Lists the store for a reader, or sends it the changes if it can continue its watch.
     fn read(&self, reader: &mut StoreMirror) {
         let seen = reader.revision();
         let goes_on = seen.era == self.revision.era && seen <= self.revision && seen.number > 0;
@@ -206,7 +206,8 @@
 }
 
 proptest! {
-    /// Routers that ask readers of a store which is set back over and over end with what it holds.
+    /// Routers that query readers of a store that is reverted repeatedly end with the store's
+    /// entries.
     #[test]
     fn all_routers_end_with_what_a_store_holds_that_was_set_back(
         steps in prop::collection::vec((0_u8..6, any::<bool>(), 0_u8..12), 1..300),
--- a/tests/decisions/streams.rs
+++ b/tests/decisions/streams.rs
@@ -1,10 +1,10 @@
-//! Events, whole and once.
+//! Splitting of a stream into complete events, each returned once.
 
 use proptest::prelude::*;
 use scaleford::event_stream::EventSplitter;
 
 proptest! {
-    /// However the bytes are cut, the same whole events come out, and never a piece of one.
+    /// However the bytes are cut, the same complete events are returned, and never a part of one.
     #[test]
     fn events_come_out_whole_however_they_are_cut(cuts in prop::collection::vec(1_usize..40, 1..60)) {
         let events: Vec<String> = (1..30).map(|i| format!("id: {i}\ndata: piece {i}\n\n")).collect();
--- a/tests/decisions/targets.rs
+++ b/tests/decisions/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that come and go.
+//! Targets that start, stop, restart and leave.
 
 use std::time::Duration;
 
@@ -91,8 +91,8 @@
     assert_eq!(list.on_change(at(3), old, StoreRevision::first_era(7)), []);
 }
 
-/// The store was away, entries lapsed, and all routers were lost: the first list of a new one has none
-/// of the targets that live.
+/// The store was unavailable, entries expired, and all routers were lost: the first list of a new
+/// router lacks targets that are alive.
 #[test]
 fn targets_that_lapsed_before_this_life_count_for_a_moment() {
     let mut list = Discovery::default();
@@ -139,7 +139,7 @@
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
 }
 
-/// A target's entry as its life that began at `birth` writes it.
+/// Returns a target's entry as written by its instance that started at `birth`.
 fn born(n: usize, birth: u64) -> TargetRecord {
     let record = record(n);
     TargetRecord {
@@ -186,7 +186,7 @@
     assert_eq!(ids(&list), ["t1~9000"]);
 }
 
-/// What is known of a life of a target must not steer calls to the next one.
+/// State of one instance of a target must not affect calls to the next one.
 #[test]
 fn nothing_known_of_a_former_life_applies_to_the_next_one() {
     let mut d = dispatcher(0);
@@ -209,7 +209,7 @@
         .on_change(at(30), again, StoreRevision::first_era(2));
     let next = born(0, 9_000).id;
     assert_eq!(d.health.status(at(30), &next), HealthStatus::Well);
-    // A peer that has not heard of the restart tells of the former life.
+    // A peer that does not know of the restart yet announces the former instance's prompt.
     d.cache.on_peer(&former, prompt[0], false);
     assert_eq!(d.cache.missing(&next, &prompt), Tokens(4_100));
     assert_eq!(d.load.calls(at(30), &next), 0);
@@ -217,7 +217,8 @@
     assert!(ticket.fetch_from.is_none(), "no listed target has read it");
 }
 
-/// Until when a target is cold by its entry, by its hall's return, or both.
+/// A target is cold until a time given by its entry, by the end of its data hall's evacuation, or
+/// by both.
 #[test]
 fn a_target_is_cold_as_long_as_its_entry_says_and_after_its_hall_was_taken_back() {
     let lasts = Duration::from_secs(3);
@@ -278,7 +279,7 @@
     assert_eq!(ids(&list), ["t1", "t2"], "it wrote its entry anew");
 }
 
-/// What comes together leads to what it leads to one after the other.
+/// Changes that arrive together have the same effect as those that arrive one after the other.
 #[test]
 fn changes_that_come_together_are_taken_in_order() {
     let mut list = Discovery::default();
@@ -317,7 +318,8 @@
     assert_eq!(ids(&list), ["t1~9000"]);
 }
 
-/// A router that starts hears that the store came back a minute ago: that is over, and an entry that goes is gone.
+/// A starting router learns that the store became available a minute ago: the grace period is over,
+/// and a target whose entry is removed is gone.
 #[test]
 fn a_return_of_the_store_before_this_routers_start_is_over() {
     let mut list = Discovery::default();
--- a/tests/decisions/trust.rs
+++ b/tests/decisions/trust.rs
@@ -1,4 +1,4 @@
-//! How old may what is known be, and how is it passed on.
+//! Maximum age of a confirmed configuration, and how routers pass on the store's entries.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,8 +12,8 @@
 
 use crate::{REVOKE, at};
 
-/// Sapporo and puente, outages of the store: calls were refused 2.3 s into one, though nothing is
-/// refused for it before 3 s.
+/// In outages of the store, calls were refused after 2.3 s, though none may be refused because of
+/// an outage before 3 s (sapporo and puente).
 #[test]
 fn a_proof_is_relied_on_for_three_seconds_and_more_but_never_for_the_whole_bound() {
     let mut fresh = Freshness::default();
@@ -21,11 +21,12 @@
     fresh.on_applied(ConfigVersion(7));
     fresh.on_confirmed(at(1_000), Some(ConfigVersion(7)));
     assert!(fresh.may_use_keys(at(4_600), REVOKE));
-    // A watch may hear nothing for a second: with that second the bound must still be kept.
+    // A watch may receive nothing for a second; even with that second the bound must be kept.
     assert!(!fresh.may_use_keys(at(1_000 + 4_000), REVOKE));
 }
 
-/// DESIGN.md's trial: revoked keys ran as a plain heartbeat was taken for a proof.
+/// In DESIGN.md's trial, revoked keys were accepted as a plain heartbeat was taken for a
+/// confirmation.
 #[test]
 fn a_peer_vouches_only_for_what_it_knows_and_only_since_it_was_asked() {
     let mut fresh = Freshness::default();
@@ -54,10 +55,12 @@
     );
 }
 
-/// The store was away for eight seconds, and routers were killed and started again one after the other. Each that started took what a peer
-/// vouched for, a proof from before its own start, for one of its start, as its clock begins there; soon it vouched for it itself, as one
-/// of less than a second ago, and so on. A key that was taken away worked for five seconds longer than it may. The lines of calls
-/// settled it: with the store lost at 0.6 s, `"config_age_ms":378` at 6.88 s, at a router that had started 378 ms before.
+/// The store was unavailable for eight seconds, and routers were killed and restarted one after the
+/// other. Each restarted router took a peer's confirmation, which was older than its own start, for
+/// one made at its start, as its clock begins there. Soon it confirmed this to others as less than
+/// a second old, and so on. A revoked key worked for five seconds longer than allowed. The log
+/// lines of calls showed it: with the store lost at 0.6 s, a router that had started 378 ms before
+/// logged `"config_age_ms":378` at 6.88 s.
 #[test]
 fn a_proof_from_before_this_routers_start_is_as_old_as_it_is() {
     let mut fresh = Freshness::default();
@@ -71,7 +74,7 @@
     assert!(!fresh.may_use_keys(at(100), REVOKE));
 }
 
-/// The store came back from an older copy, and the configuration with a key taken away was no longer in it.
+/// The store was reverted to an older copy that lacks the configuration in which a key was revoked.
 #[rstest]
 #[case::what_is_applied(Some(7), 0, true)]
 #[case::older(Some(6), 0, false)]
@@ -93,7 +96,8 @@
     assert_eq!(fresh.may_use_keys(at(1_100), REVOKE), is_proven);
 }
 
-/// A key was taken away right before the store went away, and the copy holds the configuration before that, which is in force here.
+/// A key was revoked right before the store became unavailable. The copy holds the configuration
+/// before that, which is the one applied here.
 #[test]
 fn a_store_that_was_set_back_proves_nothing_until_what_it_lost_is_written_again() {
     let mut fresh = Freshness::default();
@@ -112,7 +116,8 @@
 }
 
 proptest! {
-    /// Whatever is told in whatever order, a key is never relied on by a proof as old as the bound.
+    /// Whatever confirmations arrive in whatever order, keys are never accepted on one as old as
+    /// the bound.
     #[test]
     fn no_order_of_proofs_outlives_the_bound(
         steps in prop::collection::vec((0_u64..20_000, 0_u64..8_000, 0_u64..4, any::<bool>()), 1..40),
@@ -157,7 +162,7 @@
 }
 
 proptest! {
-    /// A router that asks another one, however seldom, ends with the same entries.
+    /// A router that queries another one, however seldom, ends with the same entries.
     #[test]
     fn a_mirror_of_a_mirror_is_the_same(
         writes in prop::collection::vec((0_u8..6, any::<bool>(), any::<bool>()), 1..1200),
@@ -189,8 +194,8 @@
     }
 }
 
-/// Grown sapporo trouble-1: each router was told each of several configurations in full, 75 KB a
-/// time over links of 10 megabits, and had them seconds too late.
+/// Each router was sent each of several configurations in full, 75 KB at a time over links of 10
+/// megabits, and received them seconds too late (grown sapporo trouble-1).
 #[test]
 fn a_router_that_lags_is_told_only_the_last_of_several_configurations_and_that_packed() {
     let routes =
@@ -218,7 +223,7 @@
     assert_eq!(mirror.revision(), StoreRevision::first_era(5));
 }
 
-/// Each save of the prompts went in full from the readers to every router, which has no use for it.
+/// Readers sent each saved version of the prompts in full to every router, which has no use for it.
 #[test]
 fn saved_prompts_are_told_to_routers_that_start_and_not_passed_on_as_they_change() {
     let mut mirror = StoreMirror::default();
@@ -237,8 +242,8 @@
     assert!(all.items.iter().any(|i| i.key == "scaleford/prompts"));
 }
 
-/// Thousands of targets lapse and are listed anew while the store is away for a moment: a router that was up to date is
-/// told what changed, and each entry once.
+/// Entries of thousands of targets expire and are listed again while the store is briefly
+/// unavailable: a router that was up to date is sent only the changes, and each entry once.
 #[test]
 fn many_changes_at_once_are_told_as_changes() {
     let mut mirror = StoreMirror::default();
@@ -261,7 +266,7 @@
     assert!(told.items.is_sorted_by_key(|i| i.revision));
 }
 
-/// The history of the store is gone, so its reader lists anew: the others need no list.
+/// The store has lost its history, so its reader lists it again; the other routers need no list.
 #[test]
 fn after_a_list_that_followed_another_one_a_peer_is_told_what_changed() {
     let mut mirror = StoreMirror::default();
@@ -273,13 +278,15 @@
         panic!("the changes are known");
     };
     assert_eq!(told.items, [c, item("b", 9, None)]);
-    // A peer that was ahead of the reader may hold what came and went between its lists.
+    // A peer that was ahead of the reader may hold entries that were added and removed between its
+    // lists.
     let between = mirror.since(StoreRevision::first_era(7));
     assert!(matches!(between, Some(MirrorReply::List(_))), "{between:?}");
 }
 
 proptest! {
-    /// Routers that ask readers of the store in turn, which list and watch it as they can, end with what it holds.
+    /// Routers that query readers of the store in turn, which list and watch it when they can, end
+    /// with its entries.
     #[test]
     fn routers_that_ask_several_readers_end_with_what_the_store_holds(
         steps in prop::collection::vec((0_u8..8, any::<bool>(), 0_u8..6), 1..300),
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -1,4 +1,4 @@
-//! Targets that want no calls, as they say in answers.
+//! Targets that accept no calls, as stated in their responses.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -26,10 +26,10 @@
     (d.withdrawals).on_withdrawal(at(ms), &record(target).id, withdrawal)
 }
 
-/// The targets that forty calls reach, of which each ends at once.
+/// Returns the targets that forty calls reach, each of which ends at once.
 fn reached(d: &mut Dispatcher, now: Instant) -> Vec<String> {
     let send = |n: u64| {
-        // Nobody has read it yet.
+        // No target has read this prompt yet.
         let own = now.0.as_millis() as u64 * 1_000 + n;
         let prompt = vec![part(own, 3_000), part(own + 500, 50)];
         let ticket = d.choose(now, &plan(ONCE, prompt, n)).unwrap();
@@ -48,7 +48,7 @@
     assert!(say(&mut d, 10, 0, Withdrawal::Leaving));
     assert!(!say(&mut d, 20, 0, Withdrawal::Leaving), "it is known");
     assert_eq!(reached(&mut d, at(20)), ["t1"]);
-    // Its entry lapses while the store is away, and comes back as ready.
+    // Its entry expires while the store is unavailable, and returns as ready.
     let name = record(0).id.to_name();
     let removed = ListChange::Removed(name);
     d.discovery
@@ -88,7 +88,7 @@
     assert_eq!(reached(&mut d, at(3_699)), ["t1"]);
 }
 
-/// Answers to calls that were under way together come in any order.
+/// Responses to concurrent calls arrive in any order.
 #[test]
 fn of_times_that_overlap_the_later_end_counts() {
     let mut d = dispatcher(2);
@@ -123,8 +123,8 @@
     assert_eq!(d.backoff_remaining(at(100), &call.service), left);
 }
 
-/// The last one that gets calls is taken although others are preferred by their prompts, and it is not
-/// reported that all want none where an entry alone says that one leaves.
+/// The last target that accepts calls is chosen although others are preferred by their prompts.
+/// Where one target leaves by its entry alone, the error states the end of the others' backoffs.
 #[test]
 fn entries_and_answers_are_heeded_together() {
     let mut d = dispatcher(3);
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Against a book that keeps all that was said.
+    /// Compares choices with a model that keeps all withdrawals.
     #[test]
     fn nothing_is_sent_before_the_last_end_of_what_was_said(
         said in prop::collection::vec((0_usize..4, 0_u64..4_000, 0_u64..3_000), 0..40),
