--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -15,7 +15,7 @@
 
 const GOAL: Duration = Duration::from_millis(300);
 
-const HOME: CallTraits = CallTraits {
+const WITH_CACHE_AFFINITY: CallTraits = CallTraits {
     has_cache_affinity: true,
     is_surging: false,
 };
@@ -24,10 +24,10 @@
     Duration::from_millis(ms)
 }
 
-fn learned(held: Duration) -> Admission {
+fn with_slot_time(slot_time: Duration) -> Admission {
     let mut admission = Admission::new(hall("yard"));
     for _ in 0..100 {
-        admission.on_slot_time(&"writer".parse().unwrap(), held);
+        admission.on_slot_time(&"writer".parse().unwrap(), slot_time);
     }
     admission
 }
@@ -40,53 +40,65 @@
 #[case::long_streams(ms(3_000), 64, 65)]
 #[case::at_least_one(ms(3_000), 1, 1)]
 fn a_target_may_have_its_slots_and_what_comes_free_in_time(
-    #[case] held: Duration,
+    #[case] slot_time: Duration,
     #[case] slots: u32,
-    #[case] most: u32,
+    #[case] max_calls: u32,
 ) {
-    let limit = learned(held).limit(&"writer".parse().unwrap(), GOAL);
-    assert_eq!(limit.max_calls(slots, HOME), most);
+    let limit = with_slot_time(slot_time).limit(&"writer".parse().unwrap(), GOAL);
+    assert_eq!(limit.max_calls(slots, WITH_CACHE_AFFINITY), max_calls);
 }
 
 #[test]
 fn only_the_slots_count_before_anything_is_learned() {
     let limit = Admission::new(hall("yard")).limit(&"writer".parse().unwrap(), GOAL);
-    assert_eq!(limit.max_calls(16, HOME), 16);
-    let away = CallTraits::default();
-    assert_eq!(limit.max_calls(16, away), 12, "a quarter is kept");
-    let surges = CallTraits {
+    assert_eq!(limit.max_calls(16, WITH_CACHE_AFFINITY), 16);
+    let without_affinity = CallTraits::default();
+    assert_eq!(
+        limit.max_calls(16, without_affinity),
+        12,
+        "a quarter is kept"
+    );
+    let surging = CallTraits {
         is_surging: true,
-        ..HOME
+        ..WITH_CACHE_AFFINITY
     };
-    assert_eq!(limit.max_calls(16, surges), 14, "some are for others");
+    assert_eq!(limit.max_calls(16, surging), 14, "some are for others");
 }
 
 /// The retry delay never exceeds a third of the caller's waiting time, which is what callers heed,
 /// and jitter spreads callers that were refused together.
 #[test]
 fn a_refused_caller_comes_back_when_the_shortage_may_be_over() {
-    let mut admission = learned(ms(500));
+    let mut admission = with_slot_time(ms(500));
     let service = "writer".parse().unwrap();
-    let pause = |admission: &Admission, now, left, draw| {
+    let retry_after = |admission: &Admission, now, left, jitter| {
         admission
-            .retry_after(at(now), &service, ms(left), draw)
+            .retry_after(at(now), &service, ms(left), jitter)
             .as_millis()
     };
-    assert_eq!(pause(&admission, 0, 60_000, 0.0), 500, "when calls end");
+    assert_eq!(
+        retry_after(&admission, 0, 60_000, 0.0),
+        500,
+        "when calls end"
+    );
     admission.on_refused(at(1_000), &service);
-    assert_eq!(pause(&admission, 1_000, 60_000, 0.0), 3_000);
-    assert_eq!(pause(&admission, 1_000, 60_000, 1.0), 1_800);
-    assert_eq!(pause(&admission, 1_000, 6_000, 0.0), 2_000);
+    assert_eq!(retry_after(&admission, 1_000, 60_000, 0.0), 3_000);
+    assert_eq!(retry_after(&admission, 1_000, 60_000, 1.0), 1_800);
+    assert_eq!(retry_after(&admission, 1_000, 6_000, 0.0), 2_000);
     for t in 1..8 {
         admission.on_refused(at(1_000 + t * 500), &service);
     }
     assert_eq!(
-        pause(&admission, 4_500, 60_000, 0.0),
+        retry_after(&admission, 4_500, 60_000, 0.0),
         6_500,
         "older ones last longer"
     );
     admission.on_refused(at(9_000), &service);
-    assert_eq!(pause(&admission, 9_000, 60_000, 0.0), 3_000, "a new one");
+    assert_eq!(
+        retry_after(&admission, 9_000, 60_000, 0.0),
+        3_000,
+        "a new one"
+    );
 }
 
 #[rstest]
@@ -105,7 +117,12 @@
 
 /// Sends calls of several accounts, each at its rate in calls per second, from `from_s` to `to_s`.
 /// Returns the number of surging calls of each account.
-fn surging(admission: &mut Admission, from_s: u64, to_s: u64, rates: &[u64]) -> Vec<u64> {
+fn count_surging_calls(
+    admission: &mut Admission,
+    from_s: u64,
+    to_s: u64,
+    rates: &[u64],
+) -> Vec<u64> {
     let mut found = vec![0; rates.len()];
     for t in from_s * 1_000..to_s * 1_000 {
         for (n, rate) in rates.iter().enumerate() {
@@ -122,27 +139,36 @@
 #[test]
 fn an_account_that_sends_many_times_its_usual_surges() {
     let mut admission = Admission::new(hall("yard"));
-    assert_eq!(surging(&mut admission, 0, 10, &[2, 2, 10]), [0, 0, 0]);
-    let found = surging(&mut admission, 10, 16, &[40, 2, 10]);
+    assert_eq!(
+        count_surging_calls(&mut admission, 0, 10, &[2, 2, 10]),
+        [0, 0, 0]
+    );
+    let found = count_surging_calls(&mut admission, 10, 16, &[40, 2, 10]);
     assert!(found[0] > 200, "{found:?} of 240");
     assert_eq!(found[1..], [0, 0]);
-    surging(&mut admission, 16, 30, &[2, 2, 10]);
-    assert_eq!(surging(&mut admission, 30, 40, &[2, 2, 10]), [0, 0, 0]);
+    count_surging_calls(&mut admission, 16, 30, &[2, 2, 10]);
+    assert_eq!(
+        count_surging_calls(&mut admission, 30, 40, &[2, 2, 10]),
+        [0, 0, 0]
+    );
 }
 
 #[test]
 fn nobody_surges_where_all_send_more_than_usual() {
     let mut admission = Admission::new(hall("yard"));
-    surging(&mut admission, 0, 10, &[2, 4, 10]);
-    let found = surging(&mut admission, 10, 16, &[8, 16, 40]);
+    count_surging_calls(&mut admission, 0, 10, &[2, 4, 10]);
+    let found = count_surging_calls(&mut admission, 10, 16, &[8, 16, 40]);
     assert_eq!(found, [0, 0, 0]);
 }
 
 #[test]
 fn an_account_that_has_just_come_does_not_surge() {
     let mut admission = Admission::new(hall("yard"));
-    surging(&mut admission, 0, 10, &[0, 4, 10]);
-    assert_eq!(surging(&mut admission, 10, 14, &[40, 4, 10]), [0, 0, 0]);
+    count_surging_calls(&mut admission, 0, 10, &[0, 4, 10]);
+    assert_eq!(
+        count_surging_calls(&mut admission, 10, 14, &[40, 4, 10]),
+        [0, 0, 0]
+    );
 }
 
 /// Returns the cold shares of each router. Each one lists all routers, itself first.
@@ -172,7 +198,7 @@
     #[case] calls_per_s: f64,
     #[case] excess: f64,
     #[case] extra: f64,
-    #[case] most: usize,
+    #[case] max_calls: usize,
 ) {
     let warm_up = WarmUp {
         duration: Duration::from_secs(3),
@@ -194,19 +220,22 @@
             .filter(|ms| (*from..from + 1_000).contains(ms))
             .count()
     };
-    assert_eq!(sent.iter().map(within).max().unwrap_or_default(), most);
+    assert_eq!(sent.iter().map(within).max().unwrap_or_default(), max_calls);
 }
 
 #[test]
 fn what_was_learned_before_a_routers_life_holds_until_it_learns_itself() {
     let service = "writer".parse().unwrap();
     let mut admission = Admission::new(hall("yard"));
-    let most = |a: &Admission| a.limit(&service, GOAL).max_calls(16, HOME);
-    assert_eq!(most(&admission), 16);
+    let max_calls = |a: &Admission| a.limit(&service, GOAL).max_calls(16, WITH_CACHE_AFFINITY);
+    assert_eq!(max_calls(&admission), 16);
     admission.on_restored_slot_time(&service, ms(30));
-    assert_eq!(most(&admission), 32, "a place comes free every 2 ms");
+    assert_eq!(max_calls(&admission), 32, "a place comes free every 2 ms");
     (0..500).for_each(|_| admission.on_slot_time(&service, ms(300)));
-    assert!((17..20).contains(&most(&admission)));
+    assert!((17..20).contains(&max_calls(&admission)));
     admission.on_restored_slot_time(&service, ms(30));
-    assert!((17..20).contains(&most(&admission)), "its own goes first");
+    assert!(
+        (17..20).contains(&max_calls(&admission)),
+        "its own goes first"
+    );
 }
--- a/tests/decisions/calls.rs
+++ b/tests/decisions/calls.rs
@@ -20,20 +20,20 @@
 #[case(CallKind::Safe, Execution::Ran, true)]
 fn only_what_may_run_twice_is_sent_again_after_it_may_have_run(
     #[case] kind: CallKind,
-    #[case] fate: Execution,
-    #[case] again: bool,
+    #[case] execution: Execution,
+    #[case] may_retry: bool,
 ) {
     let mut attempts = Attempts::default();
     attempts.on_sent();
-    attempts.on_attempt_end(fate);
-    assert_eq!(attempts.may_retry(kind, 2), again);
-    assert_eq!(attempts.not_run().is_some(), fate == Execution::NotRun);
+    attempts.on_attempt_end(execution);
+    assert_eq!(attempts.may_retry(kind, 2), may_retry);
+    assert_eq!(attempts.not_run().is_some(), execution == Execution::NotRun);
     attempts.on_sent();
     attempts.on_attempt_end(Execution::NotRun);
     assert!(!attempts.may_retry(kind, 2), "two targets at the most");
     assert_eq!(
         attempts.not_run().is_some(),
-        fate == Execution::NotRun,
+        execution == Execution::NotRun,
         "a later refusal undoes nothing"
     );
 }
@@ -49,8 +49,8 @@
     for ms in (0..20_000).step_by(100) {
         share.on_share(at(ms), 0.25, window);
     }
-    for (ms, part) in [(20_000, 0.33), (21_500, 0.5), (22_600, 1.0)] {
-        share.on_share(at(ms), part, window);
+    for (ms, fleet_share) in [(20_000, 0.33), (21_500, 0.5), (22_600, 1.0)] {
+        share.on_share(at(ms), fleet_share, window);
         assert!((share.usable(at(ms), window) - 0.25).abs() < 1e-9);
     }
     for (ms, usable) in [(29_900, 0.25), (30_100, 0.33), (31_600, 0.5), (32_700, 1.0)] {
@@ -93,43 +93,43 @@
     #[test]
     fn routers_that_come_and_go_keep_the_budget(
         changes in prop::collection::vec((0_u64..40_000, 0_usize..5, any::<bool>()), 0..30),
-        sees_after in 0_u64..3_000,
+        detection_delay_ms in 0_u64..3_000,
     ) {
         const ROUTERS: usize = 5;
         let rule = rules().budget;
         let service = "desk".parse().unwrap();
         let mut changes = changes;
         changes.sort_unstable();
-        let mut lives: Vec<Option<(RetryBudget, FleetShare)>> = (0..ROUTERS)
+        let mut routers: Vec<Option<(RetryBudget, FleetShare)>> = (0..ROUTERS)
             .map(|_| Some((RetryBudget::new(rule), FleetShare::default())))
             .collect();
-        let mut alive_at: Vec<(u64, usize)> = vec![(0, ROUTERS)];
-        let mut repeats: Vec<u64> = Vec::new();
+        let mut live_counts: Vec<(u64, usize)> = vec![(0, ROUTERS)];
+        let mut retries: Vec<u64> = Vec::new();
         let mut due = changes.into_iter().peekable();
         for ms in (0..40_000).step_by(100) {
             while let Some((_, router, starts)) = due.next_if(|(at, ..)| *at <= ms) {
-                lives[router] = match (starts, lives[router].take()) {
-                    (true, Some(life)) => Some(life),
+                routers[router] = match (starts, routers[router].take()) {
+                    (true, Some(running)) => Some(running),
                     (true, None) => Some((RetryBudget::new(rule), FleetShare::default())),
                     (false, _) => None,
                 };
-                alive_at.push((ms, lives.iter().flatten().count()));
+                live_counts.push((ms, routers.iter().flatten().count()));
             }
             // A stop is detected at once or late; a router that starts is known before it has a share.
-            let seen = alive_at.iter().rev().find(|(at, _)| at + sees_after <= ms);
-            let seen = seen.map_or(ROUTERS, |(_, n)| *n);
-            let now = alive_at.last().map_or(ROUTERS, |(_, n)| *n);
-            let part = 1.0 / seen.max(now).max(1) as f64;
-            for (budget, share) in lives.iter_mut().flatten() {
-                share.on_share(at(ms), part, rule.window);
+            let detected = live_counts.iter().rev().find(|(at, _)| at + detection_delay_ms <= ms);
+            let detected = detected.map_or(ROUTERS, |(_, n)| *n);
+            let now = live_counts.last().map_or(ROUTERS, |(_, n)| *n);
+            let fleet_share = 1.0 / detected.max(now).max(1) as f64;
+            for (budget, share) in routers.iter_mut().flatten() {
+                share.on_share(at(ms), fleet_share, rule.window);
                 while budget.take(at(ms), &service, share.usable(at(ms), rule.window)) {
-                    repeats.push(ms);
+                    retries.push(ms);
                 }
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let in_window = |ms: &&u64| **ms <= *end && **ms + 10_000 > *end;
-            let taken = repeats.iter().filter(in_window).count() as f64;
+            let taken = retries.iter().filter(in_window).count() as f64;
             prop_assert!(taken <= rule.extra, "{taken} until {end}");
         }
     }
@@ -146,18 +146,18 @@
         let service = "desk".parse().unwrap();
         let rule = rules().budget;
         let mut budgets: Vec<RetryBudget> = (0..4).map(|_| RetryBudget::new(rule)).collect();
-        let mut repeats: Vec<u64> = Vec::new();
+        let mut retries: Vec<u64> = Vec::new();
         for (ms, router) in &calls {
             budgets[*router].on_call(at(*ms), &service);
             if budgets[*router].take(at(*ms), &service, 0.25) {
-                repeats.push(*ms);
+                retries.push(*ms);
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let in_window = |ms: &u64| *ms <= *end && *ms + 10_000 > *end;
-            let taken = repeats.iter().filter(|ms| in_window(ms)).count() as f64;
-            let asked = calls.iter().filter(|(ms, _)| in_window(ms)).count() as f64;
-            prop_assert!(taken <= asked * rule.ratio + rule.extra);
+            let taken = retries.iter().filter(|ms| in_window(ms)).count() as f64;
+            let call_count = calls.iter().filter(|(ms, _)| in_window(ms)).count() as f64;
+            prop_assert!(taken <= call_count * rule.ratio + rule.extra);
         }
     }
 }
--- a/tests/decisions/changes.rs
+++ b/tests/decisions/changes.rs
@@ -11,32 +11,32 @@
     /// store that was reverted and then continued differently.
     #[test]
     fn a_configuration_never_reverts(steps in prop::collection::vec((0usize..24, any::<bool>()), 1..120)) {
-        let (mut truth, mut other) = (ConfigLog::default(), ConfigLog::default());
-        let (mut changes, mut lies) = (Vec::new(), Vec::new());
+        let (mut true_log, mut false_log) = (ConfigLog::default(), ConfigLog::default());
+        let (mut changes, mut false_changes) = (Vec::new(), Vec::new());
         for n in 0..24 {
-            let change = next_change(&truth, &format!("chg-{n}"));
-            truth.on_change(change.clone());
+            let change = next_change(&true_log, &format!("chg-{n}"));
+            true_log.on_change(change.clone());
             changes.push(change);
-            let lie = next_change(&other, &format!("lie-{n}"));
-            other.on_change(lie.clone());
-            lies.push(lie);
+            let false_change = next_change(&false_log, &format!("lie-{n}"));
+            false_log.on_change(false_change.clone());
+            false_changes.push(false_change);
         }
         let mut log = ConfigLog::default();
         log.on_change(changes[0].clone());
-        for (n, lie) in steps {
+        for (n, is_false) in steps {
             let before = (log.revision(), log.digest());
-            let offered = if lie { lies[n].clone() } else { changes[n].clone() };
-            let outcome = log.on_change(offered);
+            let received = if is_false { false_changes[n].clone() } else { changes[n].clone() };
+            let outcome = log.on_change(received);
             prop_assert!(log.revision() >= before.0);
             prop_assert!(outcome == ChangeOutcome::Applied || (log.revision(), log.digest()) == before);
-            prop_assert!(!lie || outcome != ChangeOutcome::Applied);
+            prop_assert!(!is_false || outcome != ChangeOutcome::Applied);
         }
-        match truth.update_since(log.revision(), log.digest()) {
+        match true_log.update_since(log.revision(), log.digest()) {
             Update::Changes(missing) => missing.iter().for_each(|c| { log.on_change((**c).clone()); }),
             Update::Current => {}
             Update::Snapshot(_) => prop_assert!(false, "the ring holds all"),
         }
-        prop_assert_eq!(log.digest(), truth.digest());
+        prop_assert_eq!(log.digest(), true_log.digest());
     }
 }
 
--- a/tests/decisions/claims.rs
+++ b/tests/decisions/claims.rs
@@ -18,9 +18,9 @@
         steps in prop::collection::vec((0usize..3, 0u8..4, 1u128..40, 0u8..10), 1..200),
     ) {
         let mut store = Store::default();
-        let mut keepers: Vec<ClaimShard> = vec![ClaimShard::default(); 3];
+        let mut owners: Vec<ClaimShard> = vec![ClaimShard::default(); 3];
         let mut winners: HashMap<u8, u128> = HashMap::new();
-        for (keeper, key, request, luck) in steps {
+        for (owner, key, request, response_chance) in steps {
             let step = ClaimStep {
                 key: ClaimKey([key; 16]),
                 request: RequestId(request),
@@ -30,18 +30,18 @@
             // After a lost response the owner reloads the shard, as the daemon does after a write with
             // unknown result.
             for _ in 0..3 {
-                let batch = keepers[keeper].decide(&[step], 0);
+                let batch = owners[owner].decide(&[step], 0);
                 let verdict = batch.verdicts[0];
-                let written = store.swap(&keepers[keeper], &batch);
-                if written && luck > 2 {
-                    keepers[keeper].commit(batch);
+                let written = store.swap(&owners[owner], &batch);
+                if written && response_chance > 2 {
+                    owners[owner].commit(batch);
                     if verdict == ClaimVerdict::Recorded {
                         let winner = *winners.entry(key).or_insert(request);
                         prop_assert_eq!(winner, request);
                     }
                     break;
                 }
-                keepers[keeper] = store.load();
+                owners[owner] = store.load();
             }
         }
     }
@@ -54,10 +54,10 @@
 impl Store {
     /// Writes the batch if the owner's view of the chunk is the store's. Returns whether it was
     /// written.
-    fn swap(&mut self, keeper: &ClaimShard, batch: &Batch) -> bool {
+    fn swap(&mut self, owner: &ClaimShard, batch: &Batch) -> bool {
         let known = self.0.iter().position(|(n, _)| *n == batch.number);
         match known {
-            Some(at) if keeper.number() == batch.number && keeper.last() == &self.0[at].1 => {
+            Some(at) if owner.number() == batch.number && owner.last() == &self.0[at].1 => {
                 self.0[at].1 = batch.chunk.clone();
                 true
             }
@@ -91,36 +91,39 @@
         kind,
         outcome,
     };
-    let mut take = |s: ClaimStep, at| {
+    let mut apply = |s: ClaimStep, at| {
         let batch = shard.decide(&[s], at);
         let verdict = batch.verdicts[0];
         shard.commit(batch);
         verdict
     };
     assert_eq!(
-        take(step(1, ClaimKind::Claim, 0), 0),
+        apply(step(1, ClaimKind::Claim, 0), 0),
         ClaimVerdict::Recorded
     );
-    assert_eq!(take(step(2, ClaimKind::Claim, 0), 1), ClaimVerdict::Running);
     assert_eq!(
-        take(step(2, ClaimKind::Claim, 0), 4_000),
+        apply(step(2, ClaimKind::Claim, 0), 1),
+        ClaimVerdict::Running
+    );
+    assert_eq!(
+        apply(step(2, ClaimKind::Claim, 0), 4_000),
         ClaimVerdict::Unknown
     );
     assert_eq!(
-        take(step(1, ClaimKind::Done, 201), 4_001),
+        apply(step(1, ClaimKind::Done, 201), 4_001),
         ClaimVerdict::Recorded
     );
     assert_eq!(
-        take(step(2, ClaimKind::Claim, 0), 4_002),
+        apply(step(2, ClaimKind::Claim, 0), 4_002),
         ClaimVerdict::Ran(201)
     );
     // A call that ran cannot be released.
     assert_eq!(
-        take(step(1, ClaimKind::Release, 0), 4_003),
+        apply(step(1, ClaimKind::Release, 0), 4_003),
         ClaimVerdict::Ran(201)
     );
     assert_eq!(
-        take(step(2, ClaimKind::Claim, 0), 4_004),
+        apply(step(2, ClaimKind::Claim, 0), 4_004),
         ClaimVerdict::Ran(201)
     );
 }
@@ -135,7 +138,7 @@
 }
 
 /// Returns a shard after these steps, each recorded at second 100.
-fn after(steps: &[ClaimStep]) -> ClaimShard {
+fn shard_after(steps: &[ClaimStep]) -> ClaimShard {
     let mut shard = ClaimShard::default();
     for step in steps {
         let batch = shard.decide(&[*step], 100);
@@ -160,8 +163,8 @@
     #[case] now_s: u64,
     #[case] expected: ClaimVerdict,
 ) {
-    let mut shard = after(in_copy);
-    shard.recover(&after(known), now_s);
+    let mut shard = shard_after(in_copy);
+    shard.recover(&shard_after(known), now_s);
     let again = [step(1, 9, ClaimKind::Claim)];
     let batch = shard.decide(&again, now_s);
     assert_eq!(batch.verdicts, [expected]);
--- a/tests/decisions/evacuation.rs
+++ b/tests/decisions/evacuation.rs
@@ -14,20 +14,20 @@
 
 use crate::{at, dispatcher, hall, part, plan, record};
 
-const STREAM: CallKind = CallKind::Stream(StreamRepeats::Resumed);
+const RESUMABLE_STREAM: CallKind = CallKind::Stream(StreamRepeats::Resumed);
 
 /// Returns a dispatcher with two targets in each of two data halls.
 fn two_halls() -> Dispatcher {
     let mut d = dispatcher(4);
     for n in 2..4 {
-        let put = ListChange::Put(in_barn(n));
+        let put = ListChange::Put(record_in_barn(n));
         d.discovery
             .on_change(at(0), put, StoreRevision::first_era(2));
     }
     d
 }
 
-fn in_barn(n: usize) -> TargetRecord {
+fn record_in_barn(n: usize) -> TargetRecord {
     TargetRecord {
         data_hall: hall("barn"),
         ..record(n)
@@ -35,9 +35,13 @@
 }
 
 /// Returns the data halls that forty calls reach.
-fn reached(d: &mut Dispatcher, from_ms: u64) -> Vec<String> {
+fn reached_halls(d: &mut Dispatcher, from_ms: u64) -> Vec<String> {
     let send = |n: u64| {
-        let plan = plan(STREAM, vec![part(from_ms + n, 3_000), part(1, 50)], n);
+        let plan = plan(
+            RESUMABLE_STREAM,
+            vec![part(from_ms + n, 3_000), part(1, 50)],
+            n,
+        );
         let ticket = d.choose(at(from_ms + n), &plan).unwrap();
         d.on_end(at(from_ms + n), &ticket, None);
         ticket.target.data_hall.to_string()
@@ -55,17 +59,17 @@
         d.discovery
             .on_hall_change(at(10), hall("barn"), true, StoreRevision::first_era(3))
     );
-    assert_eq!(reached(&mut d, 20), ["yard"]);
+    assert_eq!(reached_halls(&mut d, 20), ["yard"]);
     // A target that starts there receives no calls either.
-    let put = ListChange::Put(in_barn(5));
+    let put = ListChange::Put(record_in_barn(5));
     d.discovery
         .on_change(at(100), put, StoreRevision::first_era(4));
-    assert_eq!(reached(&mut d, 110), ["yard"]);
+    assert_eq!(reached_halls(&mut d, 110), ["yard"]);
     assert!(
         d.discovery
             .on_hall_change(at(200), hall("barn"), false, StoreRevision::first_era(5))
     );
-    assert!(reached(&mut d, 10_000).contains(&"barn".to_owned()));
+    assert!(reached_halls(&mut d, 10_000).contains(&"barn".to_owned()));
 }
 
 /// Prompts that targets of an evacuated data hall have read are still fetched from them.
@@ -75,7 +79,7 @@
     d.cache.on_peer(&record(2).id, part(1, 9_000), false);
     d.discovery
         .on_hall_change(at(10), hall("barn"), true, StoreRevision::first_era(3));
-    let plan = plan(STREAM, vec![part(1, 9_000), part(2, 50)], 1);
+    let plan = plan(RESUMABLE_STREAM, vec![part(1, 9_000), part(2, 50)], 1);
     let ticket = d.choose(at(20), &plan).unwrap();
     assert_eq!(ticket.target.data_hall, hall("yard"));
     assert_eq!(ticket.fetch_from.unwrap().id, record(2).id);
@@ -89,7 +93,7 @@
         d.discovery
             .on_hall_change(at(10), hall(name), true, StoreRevision::first_era(3));
     }
-    let plan = plan(STREAM, vec![part(1, 3_000)], 1);
+    let plan = plan(RESUMABLE_STREAM, vec![part(1, 3_000)], 1);
     assert_eq!(
         d.choose(at(20), &plan).unwrap_err(),
         PlacementError::AllEvacuated
@@ -117,12 +121,12 @@
 #[case::end_of_what_never_began(&[(false, 4)], false)]
 fn the_latest_statement_holds(#[case] changes: &[(bool, u64)], #[case] is_evacuated: bool) {
     let mut halls = Evacuations::default();
-    for (i, (stated, revision)) in changes.iter().enumerate() {
+    for (i, (evacuated, revision)) in changes.iter().enumerate() {
         let now = at(i as u64);
         halls.on_change(
             now,
             hall("barn"),
-            *stated,
+            *evacuated,
             StoreRevision::first_era(*revision),
         );
     }
--- a/tests/decisions/health.rs
+++ b/tests/decisions/health.rs
@@ -63,15 +63,15 @@
 fn a_target_that_gives_no_sign_of_life_gets_no_further_call() {
     let mut d = dispatcher(3);
     let call = |n| plan(CallKind::Unsafe, Vec::new(), n);
-    let dark = d.choose(at(0), &call(1)).unwrap();
+    let unresponsive = d.choose(at(0), &call(1)).unwrap();
     for n in 2..30 {
         let ticket = d.choose(at(300 + n), &call(n)).unwrap();
-        assert_ne!(ticket.target.id, dark.target.id);
+        assert_ne!(ticket.target.id, unresponsive.target.id);
         d.on_end(at(301 + n), &ticket, Some(Outcome::Good));
     }
-    d.on_end(at(600), &dark, Some(Outcome::Good));
+    d.on_end(at(600), &unresponsive, Some(Outcome::Good));
     assert_eq!(
-        d.health.status(at(600), &dark.target.id),
+        d.health.status(at(600), &unresponsive.target.id),
         HealthStatus::Well
     );
 }
@@ -80,11 +80,12 @@
 fn a_target_that_two_peers_doubt_is_the_last_choice_and_one_peer_alone_changes_nothing() {
     let mut d = dispatcher(2);
     let suspected = record(0).id;
-    let told = vec![(&suspected).into()];
+    let suspicions = vec![(&suspected).into()];
     d.health
-        .on_suspicions(at(0), "vm-1".parse().unwrap(), told.clone());
+        .on_suspicions(at(0), "vm-1".parse().unwrap(), suspicions.clone());
     assert_eq!(d.health.status(at(1), &suspected), HealthStatus::Well);
-    d.health.on_suspicions(at(0), "vm-2".parse().unwrap(), told);
+    d.health
+        .on_suspicions(at(0), "vm-2".parse().unwrap(), suspicions);
     assert_eq!(d.health.status(at(1), &suspected), HealthStatus::Suspected);
     for n in 0..10 {
         let call = plan(CallKind::Unsafe, Vec::new(), n);
@@ -192,8 +193,8 @@
     let hash = |id| TargetHash::from(id);
     let mut report = |vm: &str, ms, targets: Vec<TargetHash>| {
         d.health.on_suspicions(at(ms), vm.parse().unwrap(), targets);
-        let standing = |id| d.health.status(at(ms), id);
-        (standing(&first), standing(&second))
+        let status = |id| d.health.status(at(ms), id);
+        (status(&first), status(&second))
     };
     let (well, suspected) = (HealthStatus::Well, HealthStatus::Suspected);
     let both = vec![hash(&first), hash(&second)];
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -15,25 +15,25 @@
     #[test]
     fn shares_stay_under_the_limit(
         demands in prop::collection::vec((0usize..12, 0u64..200_000, 0u32..300), 1..300),
-        keeper_dies_at in 0usize..300,
+        owner_replaced_at in 0usize..300,
     ) {
         let limits = AccountLimits { requests_per_s: 100, concurrency: 120 };
-        let mut keeper = ShareAllocator::new(Instant::default());
+        let mut allocator = ShareAllocator::new(Instant::default());
         let mut limiters: Vec<Limiter> = (0..12).map(|_| Limiter::new(Instant::default())).collect();
-        let mut held: HashMap<usize, (Instant, u64, u32)> = HashMap::new();
+        let mut granted: HashMap<usize, (Instant, u64, u32)> = HashMap::new();
         for (n, (who, rate_milli, in_flight)) in demands.into_iter().enumerate() {
             let now = Instant::from_millis(n as u64 * 100);
-            if n == keeper_dies_at {
-                keeper = ShareAllocator::new(now);
+            if n == owner_replaced_at {
+                allocator = ShareAllocator::new(now);
             }
-            let live = held.get(&who).filter(|(at, _, _)| now.since(*at) < GRANT_TTL);
-            let (held_rate_milli, held_concurrency) = live.map_or((0, 0), |h| (h.1, h.2));
-            let demand = Demand { rate_milli, in_flight, granted_rate_milli: held_rate_milli, granted_concurrency: held_concurrency };
+            let live = granted.get(&who).filter(|(at, _, _)| now.since(*at) < GRANT_TTL);
+            let (granted_rate_milli, granted_concurrency) = live.map_or((0, 0), |h| (h.1, h.2));
+            let demand = Demand { rate_milli, in_flight, granted_rate_milli, granted_concurrency };
             let vm: VmId = format!("vm-{who}").parse().unwrap();
-            let grant = keeper.on_demand(now, vm, demand, limits);
+            let grant = allocator.on_demand(now, vm, demand, limits);
             limiters[who].on_grant(now, grant);
-            held.insert(who, (now, grant.rate_milli, grant.concurrency));
-            let live = held.values().filter(|(at, _, _)| now.since(*at) < GRANT_TTL);
+            granted.insert(who, (now, grant.rate_milli, grant.concurrency));
+            let live = granted.values().filter(|(at, _, _)| now.since(*at) < GRANT_TTL);
             let sum = live.fold((0, 0), |s, h| (s.0 + h.1, s.1 + h.2));
             prop_assert!(sum.0 <= 90_000 && sum.1 <= 108, "{:?}", sum);
         }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -32,7 +32,7 @@
     units::{Instant, StoreRevision, Tokens},
 };
 
-const REVOKE: Duration = Duration::from_secs(5);
+const REVOKE_BOUND: Duration = Duration::from_secs(5);
 
 const RESUMABLE: CallKind = CallKind::Stream(StreamRepeats::Resumed);
 
@@ -42,7 +42,7 @@
 
 fn rules() -> Rules {
     Rules {
-        revoke_bound: Some(REVOKE),
+        revoke_bound: Some(REVOKE_BOUND),
         cap_factor: 2.0,
         budget: BudgetRule {
             ratio: 0.2,
--- a/tests/decisions/many_targets.rs
+++ b/tests/decisions/many_targets.rs
@@ -25,33 +25,33 @@
 
 /// Result of calls that were sent one after the other, each of which took `lasts`.
 #[derive(Debug)]
-struct Served {
+struct RunTotals {
     /// Number of prompt tokens that targets had to read.
-    read: u64,
+    tokens_read: u64,
     /// Maximum number of calls in progress at one target.
-    most: u32,
+    max_calls: u32,
     /// Maximum number of targets scored for one call.
-    weighed: usize,
+    max_scored: usize,
 }
 
-fn serve(d: &mut Dispatcher, calls: u64, lasts: Duration) -> Served {
-    let mut served = Served {
-        read: 0,
-        most: 0,
-        weighed: 0,
+fn run_calls(d: &mut Dispatcher, calls: u64, call_duration: Duration) -> RunTotals {
+    let mut served = RunTotals {
+        tokens_read: 0,
+        max_calls: 0,
+        max_scored: 0,
     };
-    let mut open: Vec<(Instant, scaleford::dispatcher::Ticket)> = Vec::new();
+    let mut in_progress: Vec<(Instant, scaleford::dispatcher::Ticket)> = Vec::new();
     for n in 0..calls {
         let now = at(n * 2);
-        while open.first().is_some_and(|(end, _)| *end <= now) {
-            let (_, ticket) = open.remove(0);
+        while in_progress.first().is_some_and(|(end, _)| *end <= now) {
+            let (_, ticket) = in_progress.remove(0);
             d.on_end(now, &ticket, Some(Outcome::Good));
         }
         let ticket = d.choose(now, &call(n * 7_919 % 150, n)).unwrap();
-        served.read += ticket.missing.0;
-        served.most = served.most.max(ticket.calls + 1);
-        served.weighed = served.weighed.max(ticket.scored_targets);
-        open.push((now + lasts, ticket));
+        served.tokens_read += ticket.missing.0;
+        served.max_calls = served.max_calls.max(ticket.calls + 1);
+        served.max_scored = served.max_scored.max(ticket.scored_targets);
+        in_progress.push((now + call_duration, ticket));
     }
     served
 }
@@ -64,21 +64,24 @@
 #[case::twice_that(19_400)]
 fn a_choice_weighs_as_few_targets_however_many_there_are(#[case] targets: usize) {
     let mut d = dispatcher(targets);
-    let served = serve(&mut d, 600, Duration::from_millis(500));
-    assert!(served.weighed <= 64, "{served:?}");
+    let served = run_calls(&mut d, 600, Duration::from_millis(500));
+    assert!(served.max_scored <= 64, "{served:?}");
 }
 
 /// Scoring preselected targets is as good as scoring all: just above the number of targets from which
 /// targets are preselected, no more tokens are read and no target has more calls than just below it.
 #[test]
 fn few_targets_are_as_good_as_all() {
-    let lasts = Duration::from_millis(800);
-    let all = serve(&mut dispatcher(1_023), 4_000, lasts);
-    let few = serve(&mut dispatcher(1_025), 4_000, lasts);
+    let call_duration = Duration::from_millis(800);
+    let all = run_calls(&mut dispatcher(1_023), 4_000, call_duration);
+    let few = run_calls(&mut dispatcher(1_025), 4_000, call_duration);
     println!("all {all:?}, few {few:?}");
-    assert!(all.weighed > 1_000 && few.weighed <= 64);
-    assert!(few.read as f64 <= all.read as f64 * 1.01, "{all:?} {few:?}");
-    assert!(few.most <= all.most + 1, "{all:?} {few:?}");
+    assert!(all.max_scored > 1_000 && few.max_scored <= 64);
+    assert!(
+        few.tokens_read as f64 <= all.tokens_read as f64 * 1.01,
+        "{all:?} {few:?}"
+    );
+    assert!(few.max_calls <= all.max_calls + 1, "{all:?} {few:?}");
 }
 
 #[test]
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -21,32 +21,32 @@
 #[test]
 fn counts_of_peers_are_added_up_once_whether_they_come_singly_or_as_a_sum() {
     let target: TargetId = "t1".parse().unwrap();
-    let mut near = LoadAccount::new(hall("yard"));
-    let mut other = LoadAccount::new(hall("yard"));
-    other.on_send(&target, InProgress::one(Tokens(10)));
-    other.on_send(&target, InProgress::one(Tokens(5)));
+    let mut own = LoadAccount::new(hall("yard"));
+    let mut peer_load = LoadAccount::new(hall("yard"));
+    peer_load.on_send(&target, InProgress::one(Tokens(10)));
+    peer_load.on_send(&target, InProgress::one(Tokens(5)));
     let me: VmId = "me".parse().unwrap();
     let peer: VmId = "peer".parse().unwrap();
-    near.on_send(&target, InProgress::one(Tokens(1)));
-    near.on_peer(at(0), peer.clone(), hall("yard"), other.own_counts());
-    assert_eq!(near.total(&target).calls, 3);
+    own.on_send(&target, InProgress::one(Tokens(1)));
+    own.on_peer(at(0), peer.clone(), hall("yard"), peer_load.own_counts());
+    assert_eq!(own.total(&target).calls, 3);
     // The peer computes the hall's sum, which includes the counts that this router sent to it.
-    other.on_peer(at(0), me.clone(), hall("yard"), near.own_counts());
-    let sum = other.own_hall_sum(at(0)).counts;
+    peer_load.on_peer(at(0), me.clone(), hall("yard"), own.own_counts());
+    let sum = peer_load.own_hall_sum(at(0)).counts;
     assert_eq!(sum.calls(), 3);
-    near.on_hall_sums(at(10), other.all_hall_sums(at(0)));
+    own.on_hall_sums(at(10), peer_load.all_hall_sums(at(0)));
     assert_eq!(
-        near.total(&target),
+        own.total(&target),
         InProgress {
             calls: 3,
             tokens: Tokens(16)
         }
     );
     // When no more sums arrive, the peers' own counts are used again.
-    near.on_tick(at(1_600));
-    assert_eq!(near.total(&target).calls, 3);
-    near.on_tick(at(9_000));
-    assert_eq!(near.total(&target).calls, 1);
+    own.on_tick(at(1_600));
+    assert_eq!(own.total(&target).calls, 3);
+    own.on_tick(at(9_000));
+    assert_eq!(own.total(&target).calls, 1);
 }
 
 #[test]
@@ -117,8 +117,8 @@
                 let here = f64::from(ticket.calls);
                 assert!(here <= 2.0 * f64::from(all) / 10.0 + 3.0);
             }
-            Err(no) => {
-                assert_eq!(no, PlacementError::AllFull);
+            Err(error) => {
+                assert_eq!(error, PlacementError::AllFull);
                 full += 1;
             }
         }
@@ -205,7 +205,7 @@
 
 /// Returns a turn of a chat: a system prompt that other chats share, the earlier messages and a new
 /// question.
-fn turn(chat: u64, turns: u64) -> CallPlan {
+fn chat_turn(chat: u64, turns: u64) -> CallPlan {
     let mut prompt = vec![part(1, 400)];
     prompt.extend((0..=turns).map(|n| part(chat * 1_000 + n, 150)));
     prompt.push(part(chat * 1_000 + 900 + turns, 0));
@@ -220,8 +220,8 @@
 #[test]
 fn a_chat_that_returns_through_another_router_finds_its_target_without_a_word() {
     for chat in 2..60 {
-        let first = dispatcher(9).choose(at(0), &turn(chat, 0)).unwrap();
-        let again = dispatcher(9).choose(at(0), &turn(chat, 5)).unwrap();
+        let first = dispatcher(9).choose(at(0), &chat_turn(chat, 0)).unwrap();
+        let again = dispatcher(9).choose(at(0), &chat_turn(chat, 5)).unwrap();
         assert_eq!(again.target.id, first.target.id, "chat {chat}");
         // The target has read the earlier messages but not the new question.
         assert_eq!(again.missing, Tokens(150));
@@ -231,7 +231,7 @@
 #[test]
 fn a_chat_whose_first_choice_is_busy_goes_elsewhere_and_the_peers_are_told() {
     let mut d = dispatcher(3);
-    let chat = turn(7, 3);
+    let chat = chat_turn(7, 3);
     let first = d.choose(at(0), &chat).unwrap();
     while d.load.calls(at(0), &first.target.id) < 20 {
         d.load.on_send(&first.target.id, InProgress::one(Tokens(0)));
@@ -239,12 +239,12 @@
     d.cache.take_announcements(1_000, false);
     let moved = d.choose(at(1), &chat).unwrap();
     assert_ne!(moved.target.id, first.target.id);
-    let told = d.cache.take_announcements(1_000, false);
-    let of_chat = told.iter().filter(|(_, _, t)| *t == moved.target.id);
-    assert_eq!(of_chat.count(), 5, "all parts but the request's own");
+    let announced = d.cache.take_announcements(1_000, false);
+    let at_new_target = announced.iter().filter(|(_, _, t)| *t == moved.target.id);
+    assert_eq!(at_new_target.count(), 5, "all parts but the request's own");
     // A peer that received the announcements finds the chat there.
     let mut peer = dispatcher(3);
-    for (id, tokens, target) in told {
+    for (id, tokens, target) in announced {
         let part = scaleford::prompt_cache::PromptPart { id, tokens };
         peer.cache.on_peer(&target, part, false);
     }
@@ -252,21 +252,21 @@
         peer.load
             .on_send(&first.target.id, InProgress::one(Tokens(0)));
     }
-    let again = peer.choose(at(2), &turn(7, 4)).unwrap();
+    let again = peer.choose(at(2), &chat_turn(7, 4)).unwrap();
     assert_eq!(again.target.id, moved.target.id);
 }
 
 proptest! {
     #[test]
-    fn only_the_chats_of_a_leaving_target_move(seed in 2_u64..1_000_000, gone in 0_usize..20) {
+    fn only_the_chats_of_a_leaving_target_move(seed in 2_u64..1_000_000, removed in 0_usize..20) {
         for chat in seed..seed + 20 {
             let mut all = dispatcher(20);
-            let before = all.choose(at(0), &turn(chat, 0)).unwrap().target.id.clone();
+            let before = all.choose(at(0), &chat_turn(chat, 0)).unwrap().target.id.clone();
             let mut fewer = dispatcher(20);
-            let left = ListChange::Removed(record(gone).id.to_name());
-            fewer.discovery.on_change(at(0), left, StoreRevision::first_era(2));
-            let after = fewer.choose(at(0), &turn(chat, 0)).unwrap().target.id.clone();
-            prop_assert!(before == after || before == record(gone).id);
+            let removal = ListChange::Removed(record(removed).id.to_name());
+            fewer.discovery.on_change(at(0), removal, StoreRevision::first_era(2));
+            let after = fewer.choose(at(0), &chat_turn(chat, 0)).unwrap().target.id.clone();
+            prop_assert!(before == after || before == record(removed).id);
         }
     }
 }
@@ -283,7 +283,7 @@
         .on_list(at(0), list, StoreRevision::first_era(2));
     let mut calls = [0_u32; 4];
     for n in 0..140 {
-        let ticket = d.choose(at(0), &turn(n + 2, 0)).unwrap();
+        let ticket = d.choose(at(0), &chat_turn(n + 2, 0)).unwrap();
         let target = (0..4).find(|i| record(*i).id == ticket.target.id).unwrap();
         calls[target] += 1;
     }
@@ -305,7 +305,7 @@
         .on_list(at(0), list, StoreRevision::first_era(2));
     let mut at_small = 0;
     for n in 0..12 {
-        let ticket = d.choose(at(0), &turn(n + 2, 0)).unwrap();
+        let ticket = d.choose(at(0), &chat_turn(n + 2, 0)).unwrap();
         at_small += u32::from(ticket.target.id == record(0).id);
     }
     let work = d.load.total(&record(0).id).tokens;
@@ -320,7 +320,7 @@
     let mut calls: HashMap<TargetId, u32> = HashMap::new();
     for n in 0..400_u64 {
         let router = &mut routers[n as usize % 2];
-        let ticket = router.choose(at(0), &turn(n + 2, 0)).unwrap();
+        let ticket = router.choose(at(0), &chat_turn(n + 2, 0)).unwrap();
         *calls.entry(ticket.target.id.clone()).or_default() += 1;
     }
     let most = calls.values().max().unwrap();
@@ -332,7 +332,7 @@
 #[test]
 fn a_young_router_tells_once_more_what_it_told_before_it_knew_its_peers() {
     let mut d = dispatcher(3);
-    d.choose(at(0), &turn(7, 3)).unwrap();
+    d.choose(at(0), &chat_turn(7, 3)).unwrap();
     let first = d.cache.take_announcements(1_000, true);
     assert!(!first.is_empty());
     d.cache.announce_again();
--- a/tests/decisions/prompts.rs
+++ b/tests/decisions/prompts.rs
@@ -8,7 +8,7 @@
 };
 
 /// Returns locations of parts whose ids are distributed like hashes, each at four of 200 targets.
-fn held(parts: u64) -> Vec<PartLocation> {
+fn part_locations(parts: u64) -> Vec<PartLocation> {
     let target = |n: u64| -> TargetId { format!("i-{n:010x}").parse().unwrap() };
     let id = |n: u64| PartId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let copies = (0..4 * parts).map(|n| {
@@ -28,9 +28,9 @@
 /// which takes 1.7 s (large sapporo trouble-1).
 #[test]
 fn what_is_kept_of_prompts_takes_few_bytes_a_copy() {
-    let held = held(2_000);
-    let whole = postcard::to_stdvec(&held).unwrap().len();
-    let kept = postcard::to_stdvec(&PromptSnapshot::new(&held))
+    let part_locations = part_locations(2_000);
+    let whole = postcard::to_stdvec(&part_locations).unwrap().len();
+    let kept = postcard::to_stdvec(&PromptSnapshot::new(&part_locations))
         .unwrap()
         .len();
     assert!(kept * 4 < whole, "{kept} of {whole} bytes");
@@ -38,11 +38,14 @@
 
 #[test]
 fn what_is_kept_of_prompts_comes_back_in_each_targets_order() {
-    let held = held(50);
-    let bytes = postcard::to_stdvec(&PromptSnapshot::new(&held)).unwrap();
-    let back: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
-    assert_eq!(back.part_locations().collect::<Vec<_>>(), held);
-    assert_eq!(back.len(), 50);
+    let part_locations = part_locations(50);
+    let bytes = postcard::to_stdvec(&PromptSnapshot::new(&part_locations)).unwrap();
+    let restored: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(
+        restored.part_locations().collect::<Vec<_>>(),
+        part_locations
+    );
+    assert_eq!(restored.len(), 50);
 }
 
 /// A value that an earlier version saved under the same key, or a truncated one, must not cause a
@@ -51,7 +54,7 @@
 fn places_of_no_part_are_passed_over() {
     let (parts, target) = (0_u8, "t1".parse::<TargetId>().unwrap());
     let bytes = postcard::to_stdvec(&(parts, vec![(target, vec![3_u32])])).unwrap();
-    let back: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
-    assert!(back.is_empty());
-    assert_eq!(back.part_locations().count(), 0);
+    let restored: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
+    assert!(restored.is_empty());
+    assert_eq!(restored.part_locations().count(), 0);
 }
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns the state after `n` targets crashed under `REQUEST`, a second apart.
-fn after_endings(n: usize) -> Quarantine {
+fn after_crashes(n: usize) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for i in 0..n {
         quarantine.on_crash(at(i as u64 * 1_000), REQUEST, target(i));
@@ -35,12 +35,15 @@
 #[case(2, false)]
 #[case(3, true)]
 fn the_third_target_that_ends_under_a_request_is_the_last(
-    #[case] ended: usize,
-    #[case] held: bool,
+    #[case] crashes: usize,
+    #[case] is_quarantined: bool,
 ) {
-    let quarantine = after_endings(ended);
-    assert_eq!(quarantine.time_left(at(3_000), REQUEST).is_some(), held);
-    assert_eq!(quarantine.unsaved().len(), usize::from(held));
+    let quarantine = after_crashes(crashes);
+    assert_eq!(
+        quarantine.time_left(at(3_000), REQUEST).is_some(),
+        is_quarantined
+    );
+    assert_eq!(quarantine.unsaved().len(), usize::from(is_quarantined));
     assert!(quarantine.time_left(at(3_000), Fingerprint(1)).is_none());
 }
 
@@ -55,9 +58,9 @@
     // once.
     for _ in 0..3 {
         for from in 0..3 {
-            let told = routers[from].crash_notices(at(150));
+            let notices = routers[from].crash_notices(at(150));
             for to in (0..3).filter(|to| *to != from) {
-                routers[to].on_crash_notices(at(160), &told);
+                routers[to].on_crash_notices(at(160), &notices);
             }
         }
     }
@@ -71,11 +74,11 @@
 fn the_same_ending_told_twice_counts_once() {
     let mut here = Quarantine::default();
     here.on_crash(at(1_000), REQUEST, target(0));
-    let told = here.crash_notices(at(1_050));
+    let notices = here.crash_notices(at(1_050));
     let mut there = Quarantine::default();
     there.on_crash(at(1_020), REQUEST, target(0));
     for later in 0..20 {
-        there.on_crash_notices(at(1_060 + later), &told);
+        there.on_crash_notices(at(1_060 + later), &notices);
     }
     there.on_crash(at(1_030), REQUEST, target(1));
     assert!(there.time_left(at(1_100), REQUEST).is_none());
@@ -96,14 +99,18 @@
 #[test]
 fn calls_beside_it_are_let_through() {
     let mut quarantine = Quarantine::default();
-    let beside = |ending: u64, n: u64| Fingerprint(ending * 100 + n);
-    for ending in 0..20 {
-        let now = at(ending * 700);
-        quarantine.on_crash(now, REQUEST, target(ending as usize));
+    let concurrent_request = |crash: u64, n: u64| Fingerprint(crash * 100 + n);
+    for crash in 0..20 {
+        let now = at(crash * 700);
+        quarantine.on_crash(now, REQUEST, target(crash as usize));
         for n in 0..8 {
             // Some of the calls that broke off before are sent again and meet another crash.
-            let again = ending.saturating_sub(u64::from(n < 2));
-            quarantine.on_crash(now, beside(again, n), target(ending as usize));
+            let crash_met = crash.saturating_sub(u64::from(n < 2));
+            quarantine.on_crash(
+                now,
+                concurrent_request(crash_met, n),
+                target(crash as usize),
+            );
         }
     }
     let now = at(20 * 700);
@@ -125,12 +132,12 @@
 
 #[test]
 fn an_answer_clears_a_request() {
-    let mut quarantine = after_endings(2);
+    let mut quarantine = after_crashes(2);
     assert_eq!(quarantine.on_answered(at(2_500), REQUEST), None);
     quarantine.on_crash(at(3_000), REQUEST, target(3));
     assert!(quarantine.time_left(at(3_000), REQUEST).is_none());
 
-    let mut quarantine = after_endings(3);
+    let mut quarantine = after_crashes(3);
     let change = quarantine.on_answered(at(3_500), REQUEST);
     assert_eq!(
         change,
@@ -155,7 +162,7 @@
 
 #[test]
 fn a_request_that_keeps_coming_stays_held_and_one_that_does_not_is_let_through() {
-    let mut quarantine = after_endings(3);
+    let mut quarantine = after_crashes(3);
     quarantine.on_saved(at(2_000), REQUEST);
     let half = at(2_000) + QUARANTINE_DURATION / 2;
     quarantine.on_refused(half, REQUEST);
@@ -175,7 +182,7 @@
 /// An operator removes the entry of a request that was fixed.
 #[test]
 fn a_request_that_is_let_through_is_counted_anew() {
-    let mut quarantine = after_endings(3);
+    let mut quarantine = after_crashes(3);
     quarantine.on_removed(REQUEST);
     quarantine.on_crash(at(4_000), REQUEST, target(7));
     assert!(quarantine.time_left(at(4_000), REQUEST).is_none());
@@ -184,7 +191,7 @@
 /// The state stays below a few thousand entries, and the most suspected requests are kept.
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut quarantine = after_endings(2);
+    let mut quarantine = after_crashes(2);
     for n in 0..20_000_u64 {
         quarantine.on_crash(at(2_000 + n), Fingerprint(n + 10_000), target(n as usize));
     }
@@ -205,21 +212,28 @@
 
 #[test]
 fn an_ending_is_announced_for_a_while_only() {
-    let quarantine = after_endings(1);
+    let quarantine = after_crashes(1);
     assert_eq!(quarantine.crash_notices(at(1_000)).len(), 1);
-    let long = Duration::from_secs(3);
-    assert!(quarantine.crash_notices(at(0) + long).is_empty());
+    let notice_time = Duration::from_secs(3);
+    assert!(quarantine.crash_notices(at(0) + notice_time).is_empty());
 }
 
 /// While the store has no entry of a quarantined request, routers notify one another of it, and a
 /// starting router learns of it from any peer.
 #[test]
 fn what_no_entry_tells_of_is_told_by_peers_until_one_does() {
-    let mut first = after_endings(3);
+    let mut first = after_crashes(3);
     let mut started = Quarantine::default();
-    let told = first.quarantine_notices(at(60_000));
-    assert_eq!(started.on_quarantine_notices(at(60_010), &told), [REQUEST]);
-    assert!(started.on_quarantine_notices(at(60_020), &told).is_empty());
+    let notices = first.quarantine_notices(at(60_000));
+    assert_eq!(
+        started.on_quarantine_notices(at(60_010), &notices),
+        [REQUEST]
+    );
+    assert!(
+        started
+            .on_quarantine_notices(at(60_020), &notices)
+            .is_empty()
+    );
     // Repeated notices do not extend the quarantine, except by the time for which they are in
     // transit.
     for ms in (60_000..120_000).step_by(400) {
@@ -244,10 +258,14 @@
 /// because of their crash notices.
 #[test]
 fn an_answer_outweighs_what_peers_hold_back() {
-    let told = after_endings(3).quarantine_notices(at(5_000));
+    let notices = after_crashes(3).quarantine_notices(at(5_000));
     let mut answered = Quarantine::default();
     answered.on_answered(at(5_000), REQUEST);
-    assert!(answered.on_quarantine_notices(at(5_100), &told).is_empty());
+    assert!(
+        answered
+            .on_quarantine_notices(at(5_100), &notices)
+            .is_empty()
+    );
     assert!(answered.time_left(at(5_200), REQUEST).is_none());
 }
 
@@ -255,7 +273,7 @@
 /// forwarded such requests.
 #[test]
 fn a_held_request_is_entered_again_after_the_store_was_set_back() {
-    let mut quarantine = after_endings(3);
+    let mut quarantine = after_crashes(3);
     quarantine.on_saved(at(3_100), REQUEST);
     assert!(quarantine.quarantine_notices(at(3_200)).is_empty());
     quarantine.on_store_reverted();
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -38,37 +38,37 @@
     config.requires_keys = true;
     config.add_route(route("a.example", "/x/", &[("one", 1)]));
     config.add_route(route("a.example", "/x/y/", &[("two", 1)]));
-    let holder = KeyOwner {
+    let key_owner = KeyOwner {
         account: "farm".parse().unwrap(),
         rank: None,
         limits: None,
     };
-    config.add_key(KeyHash::of("secret"), holder.clone());
-    let found = |path: &str, key| {
-        let asked = RoutingKey {
+    config.add_key(KeyHash::of("secret"), key_owner.clone());
+    let admit = |path: &str, key| {
+        let routing_key = RoutingKey {
             host: "A.example:80".to_owned(),
             path: path.to_owned(),
             ..RoutingKey::default()
         };
         config
-            .admit(&asked, key)
+            .admit(&routing_key, key)
             .map(|(r, h)| (r.path_prefix.clone(), h))
     };
     assert_eq!(
-        found("/x/y/z", Some("secret")),
-        Ok(("/x/y/".to_owned(), Some(holder)))
+        admit("/x/y/z", Some("secret")),
+        Ok(("/x/y/".to_owned(), Some(key_owner)))
     );
-    assert_eq!(found("/x/yy", Some("wrong")), Err(Denied::WrongKey));
-    assert_eq!(found("/x/yy", None), Err(Denied::WrongKey));
-    assert_eq!(found("/z", Some("secret")), Err(Denied::NoRoute));
+    assert_eq!(admit("/x/yy", Some("wrong")), Err(Denied::WrongKey));
+    assert_eq!(admit("/x/yy", None), Err(Denied::WrongKey));
+    assert_eq!(admit("/z", Some("secret")), Err(Denied::NoRoute));
 }
 
 #[test]
 fn a_split_is_kept_and_each_repeat_of_a_call_goes_to_the_same_service() {
     let route = route("a", "/", &[("one", 90), ("two", 10), ("none", 0)]);
     let name = |hash| route.service_for(hash).unwrap().to_string();
-    let twos = (0..1_000).filter(|h| name(*h) == "two").count();
-    assert_eq!(twos, 100);
+    let sent_to_two = (0..1_000).filter(|h| name(*h) == "two").count();
+    assert_eq!(sent_to_two, 100);
     assert!((0..1_000).all(|h| name(h) != "none"));
 }
 
@@ -131,17 +131,17 @@
     fn a_chat_is_repeated_until_its_first_event_and_never_resumed() {
         let chat = r#"{"model": "desk", "stream": true, "messages": [
             {"role": "system", "content": "Be kind."}, {"role": "user", "content": "Hello?"}]}"#;
-        let facts = read("POST", "/v1/chat/completions", chat);
-        assert_eq!((facts.prompt.len(), facts.shared_parts), (3, 1));
-        let (route, holder) = config()
-            .admit(&facts.routing_key, facts.key.as_deref())
+        let call = read("POST", "/v1/chat/completions", chat);
+        assert_eq!((call.prompt.len(), call.shared_parts), (3, 1));
+        let (route, key_owner) = config()
+            .admit(&call.routing_key, call.key.as_deref())
             .unwrap();
         assert_eq!(route.kind, CallKind::Stream(StreamRepeats::UntilFirstEvent));
         assert!(route.kind.is_repeatable() && !route.kind.is_resumable());
-        assert_eq!(holder.unwrap().limits.unwrap().concurrency, 3);
+        assert_eq!(key_owner.unwrap().limits.unwrap().concurrency, 3);
         let whole = chat.replace("true", "false");
-        let facts = read("POST", "/v1/chat/completions", &whole);
-        let (route, _) = config().admit(&facts.routing_key, Some("secret")).unwrap();
+        let call = read("POST", "/v1/chat/completions", &whole);
+        let (route, _) = config().admit(&call.routing_key, Some("secret")).unwrap();
         assert_eq!(route.kind, CallKind::Safe);
     }
 
@@ -174,18 +174,18 @@
 
     #[test]
     fn what_must_not_be_repeated_is_claimed_and_what_may_be_is_not() {
-        let found = |method: &str, path: &str| {
-            let facts = read(method, path, "");
-            let admitted = config().admit(&facts.routing_key, facts.key.as_deref());
+        let admit = |method: &str, path: &str| {
+            let call = read(method, path, "");
+            let admitted = config().admit(&call.routing_key, call.key.as_deref());
             admitted.map(|(route, _)| (route.kind, route.claimed, route.timeout.as_millis()))
         };
         let claimed = Ok((CallKind::Unsafe, true, 700));
         let usual = Ok((CallKind::Safe, false, 700));
-        assert_eq!(found("POST", "/services/desk/confirm?lot=1"), claimed);
-        assert_eq!(found("GET", "/services/desk/confirm"), usual);
-        assert_eq!(found("POST", "/services/desk/notice"), usual);
-        assert_eq!(found("GET", "/services/other/x"), Err(Denied::NoRoute));
-        assert_eq!(found("GET", "/elsewhere"), Err(Denied::NoRoute));
+        assert_eq!(admit("POST", "/services/desk/confirm?lot=1"), claimed);
+        assert_eq!(admit("GET", "/services/desk/confirm"), usual);
+        assert_eq!(admit("POST", "/services/desk/notice"), usual);
+        assert_eq!(admit("GET", "/services/other/x"), Err(Denied::NoRoute));
+        assert_eq!(admit("GET", "/elsewhere"), Err(Denied::NoRoute));
     }
 
     #[test]
@@ -195,11 +195,11 @@
             "/model desk whole",
             "model%20desk%20whole",
         ] {
-            let asked = RoutingKey {
+            let routing_key = RoutingKey {
                 path: path.to_owned(),
                 ..RoutingKey::default()
             };
-            let is_model = config().route(&asked).is_some();
+            let is_model = config().route(&routing_key).is_some();
             // Chats look up their route by the first of these paths, which no request line can contain.
             assert_eq!(is_model, path == "model desk whole");
             assert!(!is_model || path.parse::<hyper::Uri>().is_err());
--- a/tests/decisions/set_back.rs
+++ b/tests/decisions/set_back.rs
@@ -13,17 +13,17 @@
 
 use crate::{at, hall, record};
 
-const BEFORE: StoreEra = StoreEra(1);
-const AFTER: StoreEra = StoreEra(2);
+const ERA_BEFORE: StoreEra = StoreEra(1);
+const ERA_AFTER: StoreEra = StoreEra(2);
 
 /// Returns a revision of the store before it was reverted.
-fn before(number: u64) -> StoreRevision {
-    StoreRevision::new(BEFORE, number)
+fn before_revert(number: u64) -> StoreRevision {
+    StoreRevision::new(ERA_BEFORE, number)
 }
 
 /// Returns a revision of the store after it was reverted.
-fn after(number: u64) -> StoreRevision {
-    StoreRevision::new(AFTER, number)
+fn after_revert(number: u64) -> StoreRevision {
+    StoreRevision::new(ERA_AFTER, number)
 }
 
 fn leaving(n: usize) -> TargetRecord {
@@ -34,10 +34,10 @@
 }
 
 /// Returns the record of an instance of a target, which started at `birth`.
-fn life(n: usize, birth: u64) -> TargetRecord {
+fn instance(n: usize, started_at: u64) -> TargetRecord {
     let name: TargetName = format!("t{n}").parse().unwrap();
     TargetRecord {
-        id: TargetId::new(&name, Some(UnixMillis(birth))),
+        id: TargetId::new(&name, Some(UnixMillis(started_at))),
         ..record(n)
     }
 }
@@ -47,7 +47,7 @@
 }
 
 /// Returns the ids of the targets that receive calls.
-fn called(discovery: &Discovery) -> Vec<String> {
+fn called_targets(discovery: &Discovery) -> Vec<String> {
     let service: ServiceName = "writer".parse().unwrap();
     let targets = discovery.serving(&service).iter();
     let mut names: Vec<String> = targets.map(|t| t.id.to_string()).collect();
@@ -56,17 +56,17 @@
 }
 
 /// Instant at which the store is reverted. What it lost counts as written again at `settled()`.
-const SET_BACK: Instant = Instant(Duration::from_secs(10));
+const REVERTED_AT: Instant = Instant(Duration::from_secs(10));
 
-fn settled() -> Instant {
-    SET_BACK + RETURN_GRACE
+fn settled_at() -> Instant {
+    REVERTED_AT + RETURN_GRACE
 }
 
 /// The older copy differs from what routers knew, and nothing is written again.
 #[rstest]
 #[case::target_that_leaves(vec![record(1)], vec![leaving(1)], vec![record(1)], &[], &["t1"])]
 #[case::target_that_left(vec![record(1)], vec![], vec![record(1)], &[], &["t1"])]
-#[case::target_that_started_again(vec![life(1, 5)], vec![life(1, 7)], vec![life(1, 5)], &["t1~7"], &["t1~5"])]
+#[case::target_that_started_again(vec![instance(1, 5)], vec![instance(1, 7)], vec![instance(1, 5)], &["t1~7"], &["t1~5"])]
 #[case::target_that_started(vec![], vec![record(1)], vec![], &["t1"], &[])]
 #[case::target_that_left_in_the_copy_too(vec![leaving(1)], vec![leaving(1)], vec![leaving(1)], &[], &[])]
 #[case::target_that_nobody_knew(vec![], vec![], vec![record(1)], &["t1"], &["t1"])]
@@ -78,17 +78,21 @@
     #[case] at_last: &[&str],
 ) {
     let mut discovery = Discovery::default();
-    discovery.on_list(at(0), list(first, before(3)), before(3));
-    discovery.on_list(at(1_000), list(known, before(20)), before(20));
-    discovery.on_store_reverted(SET_BACK);
-    discovery.on_list(SET_BACK, list(copy.clone(), after(3)), after(4));
-    assert_eq!(called(&discovery), at_first);
-    assert!(!discovery.take_settled(SET_BACK + RETURN_GRACE / 2));
-    discovery.on_tick(settled());
-    assert!(discovery.take_settled(settled()));
-    discovery.on_list(settled(), list(copy, after(3)), after(4));
-    assert_eq!(called(&discovery), at_last);
-    assert!(!discovery.take_settled(settled()), "once");
+    discovery.on_list(at(0), list(first, before_revert(3)), before_revert(3));
+    discovery.on_list(at(1_000), list(known, before_revert(20)), before_revert(20));
+    discovery.on_store_reverted(REVERTED_AT);
+    discovery.on_list(
+        REVERTED_AT,
+        list(copy.clone(), after_revert(3)),
+        after_revert(4),
+    );
+    assert_eq!(called_targets(&discovery), at_first);
+    assert!(!discovery.take_settled(REVERTED_AT + RETURN_GRACE / 2));
+    discovery.on_tick(settled_at());
+    assert!(discovery.take_settled(settled_at()));
+    discovery.on_list(settled_at(), list(copy, after_revert(3)), after_revert(4));
+    assert_eq!(called_targets(&discovery), at_last);
+    assert!(!discovery.take_settled(settled_at()), "once");
 }
 
 /// A change, other than a list, is written after the store was reverted.
@@ -102,12 +106,12 @@
 ) {
     let mut discovery = Discovery::default();
     let all = vec![record(1), record(2), record(3)];
-    discovery.on_list(at(0), list(all.clone(), before(3)), before(3));
-    discovery.on_change(at(1), ListChange::Put(leaving(3)), before(90));
-    discovery.on_store_reverted(SET_BACK);
-    discovery.on_list(SET_BACK, list(all, after(3)), after(4));
-    discovery.on_change(SET_BACK, change, after(5));
-    assert_eq!(called(&discovery), expected);
+    discovery.on_list(at(0), list(all.clone(), before_revert(3)), before_revert(3));
+    discovery.on_change(at(1), ListChange::Put(leaving(3)), before_revert(90));
+    discovery.on_store_reverted(REVERTED_AT);
+    discovery.on_list(REVERTED_AT, list(all, after_revert(3)), after_revert(4));
+    discovery.on_change(REVERTED_AT, change, after_revert(5));
+    assert_eq!(called_targets(&discovery), expected);
 }
 
 #[rstest]
@@ -121,14 +125,18 @@
 ) {
     let mut discovery = Discovery::default();
     let yard = hall("yard");
-    discovery.on_hall_change(at(0), yard.clone(), true, before(3));
-    discovery.on_hall_change(at(1), yard.clone(), known, before(9));
-    let listed = || copy.iter().map(|name| (hall(name), after(3))).collect();
-    discovery.on_store_reverted(SET_BACK);
-    discovery.on_hall_list(SET_BACK, listed(), after(4));
+    discovery.on_hall_change(at(0), yard.clone(), true, before_revert(3));
+    discovery.on_hall_change(at(1), yard.clone(), known, before_revert(9));
+    let listed = || {
+        copy.iter()
+            .map(|name| (hall(name), after_revert(3)))
+            .collect()
+    };
+    discovery.on_store_reverted(REVERTED_AT);
+    discovery.on_hall_list(REVERTED_AT, listed(), after_revert(4));
     assert_eq!(discovery.evacuations().is_evacuated(&yard), at_first);
-    assert!(discovery.take_settled(settled()));
-    discovery.on_hall_list(settled(), listed(), after(4));
+    assert!(discovery.take_settled(settled_at()));
+    discovery.on_hall_list(settled_at(), listed(), after_revert(4));
     assert_eq!(discovery.evacuations().is_evacuated(&yard), at_last);
 }
 
@@ -156,7 +164,7 @@
     }
 
     /// Drops the last `lost` writes. From then on, items are read as of the new era.
-    fn set_back(&mut self, lost: usize) {
+    fn revert(&mut self, lost: usize) {
         let kept = self.changes.len().saturating_sub(lost);
         let kept: Vec<StoreItem> = self.changes.drain(..).take(kept).collect();
         let era = StoreEra(self.revision.era.0 + 1);
@@ -182,11 +190,12 @@
 
     /// Lists the store for a reader, or sends it the changes if it can continue its watch.
     fn read(&self, reader: &mut StoreMirror) {
-        let seen = reader.revision();
-        let goes_on = seen.era == self.revision.era && seen <= self.revision && seen.number > 0;
-        match goes_on {
+        let known = reader.revision();
+        let can_continue =
+            known.era == self.revision.era && known <= self.revision && known.number > 0;
+        match can_continue {
             true => {
-                let newer = self.changes.iter().filter(|c| c.revision > seen);
+                let newer = self.changes.iter().filter(|c| c.revision > known);
                 reader.on_changes(&StoreUpdate {
                     items: newer.cloned().collect(),
                     revision: self.revision,
@@ -197,10 +206,10 @@
     }
 }
 
-fn ask(asked: &StoreMirror, router: &mut StoreMirror) {
-    match asked.since(router.revision()) {
-        Some(MirrorReply::Changes(news)) => router.on_changes(&news),
-        Some(MirrorReply::List(news)) => router.on_list(&news),
+fn sync_from(source: &StoreMirror, router: &mut StoreMirror) {
+    match source.since(router.revision()) {
+        Some(MirrorReply::Changes(update)) => router.on_changes(&update),
+        Some(MirrorReply::List(update)) => router.on_list(&update),
         Some(MirrorReply::Nothing) | None => {}
     }
 }
@@ -215,18 +224,18 @@
         let mut store = Store::default();
         let mut readers = [StoreMirror::default(), StoreMirror::default()];
         let mut router = StoreMirror::default();
-        for (key, removed, what) in steps {
-            let reader = &mut readers[usize::from(what % 2)];
-            match what {
-                0 => store.set_back(usize::from(key) * 3),
-                1..=3 => ask(reader, &mut router),
+        for (key, removed, action) in steps {
+            let reader = &mut readers[usize::from(action % 2)];
+            match action {
+                0 => store.revert(usize::from(key) * 3),
+                1..=3 => sync_from(reader, &mut router),
                 4..=6 => store.read(reader),
                 _ => store.write(key, (!removed).then_some(b"value".as_slice())),
             }
         }
         store.write(0, Some(b"last"));
         store.read(&mut readers[0]);
-        ask(&readers[0], &mut router);
+        sync_from(&readers[0], &mut router);
         prop_assert_eq!(router.list(), store.list());
     }
 }
--- a/tests/decisions/targets.rs
+++ b/tests/decisions/targets.rs
@@ -26,8 +26,8 @@
     let changes = list.on_change(at(10_100), gone, StoreRevision::first_era(5));
     assert_eq!(changes, [(record(1).id, TargetChange::Kept)]);
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
-    let back = ListChange::Put(record(1));
-    list.on_change(at(10_900), back, StoreRevision::first_era(9));
+    let put = ListChange::Put(record(1));
+    list.on_change(at(10_900), put, StoreRevision::first_era(9));
     assert!(list.on_tick(at(13_000)).is_empty(), "it is back");
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
 }
@@ -140,10 +140,10 @@
 }
 
 /// Returns a target's entry as written by its instance that started at `birth`.
-fn born(n: usize, birth: u64) -> TargetRecord {
+fn instance(n: usize, started_at: u64) -> TargetRecord {
     let record = record(n);
     TargetRecord {
-        id: TargetId::new(&record.id.to_name(), Some(UnixMillis(birth))),
+        id: TargetId::new(&record.id.to_name(), Some(UnixMillis(started_at))),
         ..record
     }
 }
@@ -156,15 +156,18 @@
 #[test]
 fn a_target_that_starts_again_under_its_name_is_another_one_at_once() {
     let mut list = Discovery::default();
-    let first = vec![(born(1, 5_000), StoreRevision::first_era(1))];
+    let first = vec![(instance(1, 5_000), StoreRevision::first_era(1))];
     list.on_list(at(0), first, StoreRevision::first_era(1));
-    let again = ListChange::Put(born(1, 9_000));
+    let again = ListChange::Put(instance(1, 9_000));
     let changes = list.on_change(at(100), again, StoreRevision::first_era(2));
-    let ended = (born(1, 5_000).id, TargetChange::Restarted);
-    assert_eq!(changes, [ended, (born(1, 9_000).id, TargetChange::Added)]);
+    let ended = (instance(1, 5_000).id, TargetChange::Restarted);
+    assert_eq!(
+        changes,
+        [ended, (instance(1, 9_000).id, TargetChange::Added)]
+    );
     assert_eq!(ids(&list), ["t1~9000"]);
-    assert!(list.get(&born(1, 5_000).id).is_none());
-    let late = ListChange::Put(born(1, 5_000));
+    assert!(list.get(&instance(1, 5_000).id).is_none());
+    let late = ListChange::Put(instance(1, 5_000));
     assert_eq!(
         list.on_change(at(200), late, StoreRevision::first_era(1)),
         []
@@ -177,10 +180,10 @@
 #[test]
 fn a_saved_life_is_not_taken_for_one_that_lapsed_where_the_next_one_is_listed() {
     let mut list = Discovery::default();
-    let now = vec![(born(1, 9_000), StoreRevision::first_era(9))];
+    let now = vec![(instance(1, 9_000), StoreRevision::first_era(9))];
     list.on_list(at(0), now, StoreRevision::first_era(9));
     assert!(
-        list.on_saved_targets(at(0), vec![born(1, 5_000)])
+        list.on_saved_targets(at(0), vec![instance(1, 5_000)])
             .is_empty()
     );
     assert_eq!(ids(&list), ["t1~9000"]);
@@ -191,11 +194,11 @@
 fn nothing_known_of_a_former_life_applies_to_the_next_one() {
     let mut d = dispatcher(0);
     let revision = StoreRevision::first_era(1);
-    let list = vec![(born(0, 5_000), revision), (record(1), revision)];
+    let list = vec![(instance(0, 5_000), revision), (record(1), revision)];
     d.discovery.on_list(at(0), list, revision);
     let prompt = vec![part(1, 4_000), part(2, 100)];
     let stream = CallKind::Stream(StreamRepeats::Resumed);
-    let former = born(0, 5_000).id;
+    let former = instance(0, 5_000).id;
     d.cache.on_peer(&former, prompt[0], false);
     let ticket = d.choose(at(10), &plan(stream, prompt.clone(), 7)).unwrap();
     assert_eq!(ticket.target.id, former, "it has read the prompt");
@@ -204,10 +207,10 @@
         d.on_end(at(20), &ticket, failed);
     }
     assert_eq!(d.health.status(at(20), &former), HealthStatus::Paused);
-    let again = ListChange::Put(born(0, 9_000));
+    let again = ListChange::Put(instance(0, 9_000));
     d.discovery
         .on_change(at(30), again, StoreRevision::first_era(2));
-    let next = born(0, 9_000).id;
+    let next = instance(0, 9_000).id;
     assert_eq!(d.health.status(at(30), &next), HealthStatus::Well);
     // A peer that does not know of the restart yet announces the former instance's prompt.
     d.cache.on_peer(&former, prompt[0], false);
@@ -221,7 +224,7 @@
 /// by both.
 #[test]
 fn a_target_is_cold_as_long_as_its_entry_says_and_after_its_hall_was_taken_back() {
-    let lasts = Duration::from_secs(3);
+    let cold_time = Duration::from_secs(3);
     let mut list = Discovery::default();
     let cold = TargetRecord {
         cold_for: Duration::from_millis(1_500),
@@ -233,38 +236,44 @@
         vec![(cold, StoreRevision::first_era(1))],
         StoreRevision::first_era(1),
     );
-    assert_eq!(list.cold_until(at(100), &record(1), lasts), Some(at(1_500)));
-    assert_eq!(list.cold_until(at(1_500), &record(1), lasts), None);
+    assert_eq!(
+        list.cold_until(at(100), &record(1), cold_time),
+        Some(at(1_500))
+    );
+    assert_eq!(list.cold_until(at(1_500), &record(1), cold_time), None);
     list.on_change(
         at(600),
         ListChange::Put(record(1)),
         StoreRevision::first_era(2),
     );
     assert_eq!(
-        list.cold_until(at(700), &record(1), lasts),
+        list.cold_until(at(700), &record(1), cold_time),
         None,
         "it says so"
     );
     list.on_hall_change(at(800), hall.clone(), true, StoreRevision::first_era(3));
     list.on_hall_change(at(2_000), hall, false, StoreRevision::first_era(4));
     assert_eq!(
-        list.cold_until(at(2_100), &record(1), lasts),
+        list.cold_until(at(2_100), &record(1), cold_time),
         Some(at(5_000))
     );
-    assert_eq!(list.cold_until(at(5_000), &record(1), lasts), None);
+    assert_eq!(list.cold_until(at(5_000), &record(1), cold_time), None);
 }
 
 #[rstest]
 #[case::calm(None)]
 #[case::right_after_the_store_was_away(Some(at(0)))]
-fn an_entry_that_names_no_target_takes_the_one_before_out_at_once(#[case] back: Option<Instant>) {
+fn an_entry_that_names_no_target_takes_the_one_before_out_at_once(
+    #[case] store_available_at: Option<Instant>,
+) {
     let mut list = Discovery::default();
     let both = vec![
         (record(1), StoreRevision::first_era(1)),
         (record(2), StoreRevision::first_era(1)),
     ];
     list.on_list(at(0), both, StoreRevision::first_era(1));
-    back.into_iter()
+    store_available_at
+        .into_iter()
         .for_each(|at| list.on_store_available(at, Duration::ZERO));
     let unusable = ListChange::Unusable("t1".parse().unwrap());
     let changes = list.on_change(at(10), unusable.clone(), StoreRevision::first_era(4));
@@ -293,7 +302,10 @@
         ..record(2)
     };
     let changes = vec![
-        (ListChange::Put(born(1, 9_000)), StoreRevision::first_era(2)),
+        (
+            ListChange::Put(instance(1, 9_000)),
+            StoreRevision::first_era(2),
+        ),
         (ListChange::Put(leaving), StoreRevision::first_era(3)),
         (ListChange::Put(record(3)), StoreRevision::first_era(4)),
         (
@@ -302,10 +314,10 @@
         ),
         (ListChange::Put(record(3)), StoreRevision::first_era(4)),
     ];
-    let verdicts = list.on_changes(at(10), changes);
-    let verdicts: Vec<_> = verdicts
+    let effects = list.on_changes(at(10), changes);
+    let effects: Vec<_> = effects
         .iter()
-        .map(|(id, verdict)| (id.as_str(), *verdict))
+        .map(|(id, effect)| (id.as_str(), *effect))
         .collect();
     let expected = [
         ("t1", TargetChange::Restarted),
@@ -314,7 +326,7 @@
         ("t3", TargetChange::Added),
         ("t3", TargetChange::Unusable),
     ];
-    assert_eq!(verdicts, expected);
+    assert_eq!(effects, expected);
     assert_eq!(ids(&list), ["t1~9000"]);
 }
 
--- a/tests/decisions/trust.rs
+++ b/tests/decisions/trust.rs
@@ -10,19 +10,19 @@
     units::{ConfigVersion, StoreRevision},
 };
 
-use crate::{REVOKE, at};
+use crate::{REVOKE_BOUND, at};
 
 /// In outages of the store, calls were refused after 2.3 s, though none may be refused because of
 /// an outage before 3 s (sapporo and puente).
 #[test]
 fn a_proof_is_relied_on_for_three_seconds_and_more_but_never_for_the_whole_bound() {
     let mut fresh = Freshness::default();
-    assert!(!fresh.may_use_keys(at(0), REVOKE));
+    assert!(!fresh.may_use_keys(at(0), REVOKE_BOUND));
     fresh.on_applied(ConfigVersion(7));
     fresh.on_confirmed(at(1_000), Some(ConfigVersion(7)));
-    assert!(fresh.may_use_keys(at(4_600), REVOKE));
+    assert!(fresh.may_use_keys(at(4_600), REVOKE_BOUND));
     // A watch may receive nothing for a second; even with that second the bound must be kept.
-    assert!(!fresh.may_use_keys(at(1_000 + 4_000), REVOKE));
+    assert!(!fresh.may_use_keys(at(1_000 + 4_000), REVOKE_BOUND));
 }
 
 /// In DESIGN.md's trial, revoked keys were accepted as a plain heartbeat was taken for a
@@ -31,23 +31,23 @@
 fn a_peer_vouches_only_for_what_it_knows_and_only_since_it_was_asked() {
     let mut fresh = Freshness::default();
     fresh.on_applied(ConfigVersion(7));
-    let vouch = |echo, age, version| PeerConfirmation {
+    let confirmation = |echo, age, version| PeerConfirmation {
         echo: at(echo),
         age: Duration::from_millis(age),
         version: ConfigVersion(version),
     };
-    fresh.on_peer_confirmation(vouch(5_000, 100, 8));
+    fresh.on_peer_confirmation(confirmation(5_000, 100, 8));
     assert_eq!(fresh.age(at(5_000)), None, "it knows a later revision");
-    fresh.on_peer_confirmation(vouch(5_000, 400, 7));
+    fresh.on_peer_confirmation(confirmation(5_000, 400, 7));
     assert_eq!(fresh.age(at(6_000)), Some(Duration::from_millis(1_400)));
-    fresh.on_peer_confirmation(vouch(5_000, 2_000, 7));
+    fresh.on_peer_confirmation(confirmation(5_000, 2_000, 7));
     assert_eq!(
         fresh.age(at(6_000)),
         Some(Duration::from_millis(1_400)),
         "an older proof"
     );
     fresh.on_applied(ConfigVersion(9));
-    fresh.on_peer_confirmation(vouch(6_000, 0, 8));
+    fresh.on_peer_confirmation(confirmation(6_000, 0, 8));
     assert_eq!(
         fresh.age(at(6_000)),
         Some(Duration::ZERO),
@@ -71,7 +71,7 @@
         version: ConfigVersion(7),
     });
     assert_eq!(fresh.age(at(100)), Some(Duration::from_millis(4_850)));
-    assert!(!fresh.may_use_keys(at(100), REVOKE));
+    assert!(!fresh.may_use_keys(at(100), REVOKE_BOUND));
 }
 
 /// The store was reverted to an older copy that lacks the configuration in which a key was revoked.
@@ -83,7 +83,7 @@
 fn a_store_proves_a_configuration_that_it_holds(
     #[case] stored: Option<u64>,
     #[case] at_a_peer: u64,
-    #[case] is_proven: bool,
+    #[case] is_confirmed: bool,
 ) {
     let mut fresh = Freshness::default();
     fresh.on_applied(ConfigVersion(7));
@@ -93,7 +93,7 @@
         version: ConfigVersion(at_a_peer),
     });
     fresh.on_confirmed(at(1_000), stored.map(ConfigVersion));
-    assert_eq!(fresh.may_use_keys(at(1_100), REVOKE), is_proven);
+    assert_eq!(fresh.may_use_keys(at(1_100), REVOKE_BOUND), is_confirmed);
 }
 
 /// A key was revoked right before the store became unavailable. The copy holds the configuration
@@ -124,24 +124,24 @@
         now in 0_u64..40_000,
     ) {
         let mut fresh = Freshness::default();
-        let mut youngest: Option<i64> = None;
-        for (echo, age, version, vouched) in steps {
+        let mut latest: Option<i64> = None;
+        for (echo, age, version, from_peer) in steps {
             let version = ConfigVersion(version);
-            if vouched {
+            if from_peer {
                 if version <= fresh.version() {
-                    youngest = youngest.max(Some(echo as i64 - age as i64));
+                    latest = latest.max(Some(echo as i64 - age as i64));
                 }
-                let vouch = PeerConfirmation { echo: at(echo), age: Duration::from_millis(age), version };
-                fresh.on_peer_confirmation(vouch);
+                let confirmation = PeerConfirmation { echo: at(echo), age: Duration::from_millis(age), version };
+                fresh.on_peer_confirmation(confirmation);
             } else {
                 fresh.on_applied(version);
                 fresh.on_confirmed(at(echo), Some(fresh.version()));
-                youngest = youngest.max(Some(echo as i64));
+                latest = latest.max(Some(echo as i64));
             }
         }
-        if fresh.may_use_keys(at(now), REVOKE) {
-            let proof = youngest.unwrap();
-            prop_assert!((now as i64) < proof + REVOKE.as_millis() as i64);
+        if fresh.may_use_keys(at(now), REVOKE_BOUND) {
+            let latest = latest.unwrap();
+            prop_assert!((now as i64) < latest + REVOKE_BOUND.as_millis() as i64);
         }
     }
 }
@@ -154,7 +154,7 @@
     }
 }
 
-fn news(items: Vec<StoreItem>, revision: u64) -> StoreUpdate {
+fn update(items: Vec<StoreItem>, revision: u64) -> StoreUpdate {
     StoreUpdate {
         items,
         revision: StoreRevision::first_era(revision),
@@ -169,27 +169,27 @@
     ) {
         let mut first = StoreMirror::default();
         let mut second = StoreMirror::default();
-        first.on_list(&news(vec![item("a", 1, Some("1"))], 1));
-        for (i, (key, removed, asks)) in writes.iter().enumerate() {
+        first.on_list(&update(vec![item("a", 1, Some("1"))], 1));
+        for (i, (key, removed, syncs)) in writes.iter().enumerate() {
             let revision = i as u64 + 2;
             let value = revision.to_string();
             let value = (!removed).then_some(value.as_str());
             let change = item(&format!("k{key}"), revision, value);
-            first.on_changes(&news(vec![change], revision));
-            if *asks {
-                pass_on(&first, &mut second);
+            first.on_changes(&update(vec![change], revision));
+            if *syncs {
+                sync(&first, &mut second);
             }
         }
-        pass_on(&first, &mut second);
+        sync(&first, &mut second);
         prop_assert_eq!(first.since(StoreRevision::first_era(0)), second.since(StoreRevision::first_era(0)));
         prop_assert_eq!(first.since(first.revision()), None);
     }
 }
 
-fn pass_on(from: &StoreMirror, to: &mut StoreMirror) {
+fn sync(from: &StoreMirror, to: &mut StoreMirror) {
     match from.since(to.revision()) {
-        Some(MirrorReply::List(news)) => to.on_list(&news),
-        Some(MirrorReply::Changes(news)) => to.on_changes(&news),
+        Some(MirrorReply::List(update)) => to.on_list(&update),
+        Some(MirrorReply::Changes(update)) => to.on_changes(&update),
         _ => {}
     }
 }
@@ -201,16 +201,19 @@
     let routes =
         r#"{"name":"r-1","host":"a.example","pathPrefix":"/x/","type":"safe"},"#.repeat(900);
     let mut mirror = StoreMirror::default();
-    mirror.on_list(&news(vec![item("config", 1, Some(&routes))], 1));
+    mirror.on_list(&update(vec![item("config", 1, Some(&routes))], 1));
     for revision in 2..10 {
         let text = format!("{revision}{routes}");
-        mirror.on_changes(&news(vec![item("config", revision, Some(&text))], revision));
+        mirror.on_changes(&update(
+            vec![item("config", revision, Some(&text))],
+            revision,
+        ));
     }
-    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(1)) else {
+    let Some(MirrorReply::Changes(sent)) = mirror.since(StoreRevision::first_era(1)) else {
         panic!("the changes are known");
     };
-    assert_eq!(told.items.len(), 1);
-    let value = told.items[0].value.as_ref().unwrap();
+    assert_eq!(sent.items.len(), 1);
+    let value = sent.items[0].value.as_ref().unwrap();
     assert!(value.unpack().unwrap().starts_with(b"9"));
     assert!(value.packed_len() * 10 < routes.len());
 }
@@ -218,8 +221,8 @@
 #[test]
 fn an_older_list_never_takes_a_mirror_back() {
     let mut mirror = StoreMirror::default();
-    mirror.on_list(&news(vec![item("a", 5, Some("new"))], 5));
-    mirror.on_list(&news(vec![item("a", 3, Some("old"))], 3));
+    mirror.on_list(&update(vec![item("a", 5, Some("new"))], 5));
+    mirror.on_list(&update(vec![item("a", 3, Some("old"))], 3));
     assert_eq!(mirror.revision(), StoreRevision::first_era(5));
 }
 
@@ -228,14 +231,14 @@
 fn saved_prompts_are_told_to_routers_that_start_and_not_passed_on_as_they_change() {
     let mut mirror = StoreMirror::default();
     let prompts = |revision| item("scaleford/prompts", revision, Some("parts"));
-    mirror.on_list(&news(vec![prompts(1)], 1));
-    mirror.on_changes(&news(vec![prompts(2), item("a", 3, Some("a"))], 3));
-    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(1)) else {
+    mirror.on_list(&update(vec![prompts(1)], 1));
+    mirror.on_changes(&update(vec![prompts(2), item("a", 3, Some("a"))], 3));
+    let Some(MirrorReply::Changes(sent)) = mirror.since(StoreRevision::first_era(1)) else {
         panic!("the changes are known");
     };
-    let keys: Vec<&str> = told.items.iter().map(|i| i.key.as_str()).collect();
+    let keys: Vec<&str> = sent.items.iter().map(|i| i.key.as_str()).collect();
     assert_eq!(keys, ["a"]);
-    assert_eq!(told.revision, StoreRevision::first_era(3));
+    assert_eq!(sent.revision, StoreRevision::first_era(3));
     let Some(MirrorReply::List(all)) = mirror.since(StoreRevision::first_era(0)) else {
         panic!("a router that starts is told all");
     };
@@ -249,21 +252,21 @@
     let mut mirror = StoreMirror::default();
     let key = |n: u64| format!("entry-{n}");
     let all = (0..3_000).map(|n| item(&key(n), 1 + n, Some("a")));
-    mirror.on_list(&news(all.collect(), 3_000));
+    mirror.on_list(&update(all.collect(), 3_000));
     for n in 0..3_000 {
         let (gone, back) = (3_001 + 2 * n, 3_002 + 2 * n);
-        mirror.on_changes(&news(vec![item(&key(n), gone, None)], gone));
+        mirror.on_changes(&update(vec![item(&key(n), gone, None)], gone));
         if n >= 1_000 {
-            mirror.on_changes(&news(vec![item(&key(n), back, Some("b"))], back));
+            mirror.on_changes(&update(vec![item(&key(n), back, Some("b"))], back));
         }
     }
-    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(3_000)) else {
+    let Some(MirrorReply::Changes(sent)) = mirror.since(StoreRevision::first_era(3_000)) else {
         panic!("all changes are known");
     };
-    assert_eq!(told.items.len(), 3_000);
-    let removed = told.items.iter().filter(|i| i.value.is_none()).count();
+    assert_eq!(sent.items.len(), 3_000);
+    let removed = sent.items.iter().filter(|i| i.value.is_none()).count();
     assert_eq!(removed, 1_000);
-    assert!(told.items.is_sorted_by_key(|i| i.revision));
+    assert!(sent.items.is_sorted_by_key(|i| i.revision));
 }
 
 /// The store has lost its history, so its reader lists it again; the other routers need no list.
@@ -271,13 +274,13 @@
 fn after_a_list_that_followed_another_one_a_peer_is_told_what_changed() {
     let mut mirror = StoreMirror::default();
     let (a, b) = (item("a", 1, Some("1")), item("b", 2, Some("1")));
-    mirror.on_list(&news(vec![a.clone(), b], 5));
+    mirror.on_list(&update(vec![a.clone(), b], 5));
     let c = item("c", 8, Some("1"));
-    mirror.on_list(&news(vec![a, c.clone()], 9));
-    let Some(MirrorReply::Changes(told)) = mirror.since(StoreRevision::first_era(5)) else {
+    mirror.on_list(&update(vec![a, c.clone()], 9));
+    let Some(MirrorReply::Changes(sent)) = mirror.since(StoreRevision::first_era(5)) else {
         panic!("the changes are known");
     };
-    assert_eq!(told.items, [c, item("b", 9, None)]);
+    assert_eq!(sent.items, [c, item("b", 9, None)]);
     // A peer that was ahead of the reader may hold entries that were added and removed between its
     // lists.
     let between = mirror.since(StoreRevision::first_era(7));
@@ -295,7 +298,7 @@
         let mut changes: Vec<StoreItem> = Vec::new();
         let mut readers = [StoreMirror::default(), StoreMirror::default()];
         let mut router = StoreMirror::default();
-        for (i, (key, removed, what)) in steps.iter().enumerate() {
+        for (i, (key, removed, action)) in steps.iter().enumerate() {
             let revision = i as u64 + 1;
             let key = format!("k{key}");
             let change = item(&key, revision, (!removed).then_some("value"));
@@ -304,25 +307,25 @@
                 false => store.insert(key, change.clone()),
             };
             changes.push(change);
-            let reader = &mut readers[usize::from(what % 2)];
-            match what {
-                0 | 1 => reader.on_list(&news(store.values().cloned().collect(), revision)),
+            let reader = &mut readers[usize::from(action % 2)];
+            match action {
+                0 | 1 => reader.on_list(&update(store.values().cloned().collect(), revision)),
                 2 | 3 if reader.revision() != StoreRevision::default() => {
                     let seen = reader.revision();
                     let newer = changes.iter().filter(|c| c.revision > seen);
-                    reader.on_changes(&news(newer.cloned().collect(), revision));
+                    reader.on_changes(&update(newer.cloned().collect(), revision));
                 }
-                _ => pass_on(reader, &mut router),
+                _ => sync(reader, &mut router),
             }
         }
         let last = steps.len() as u64;
         for reader in &mut readers {
-            reader.on_list(&news(store.values().cloned().collect(), last));
+            reader.on_list(&update(store.values().cloned().collect(), last));
         }
-        pass_on(&readers[0], &mut router);
-        let Some(MirrorReply::List(held)) = router.since(StoreRevision::first_era(0)) else {
+        sync(&readers[0], &mut router);
+        let Some(MirrorReply::List(listed)) = router.since(StoreRevision::first_era(0)) else {
             panic!("a router that starts is told all");
         };
-        prop_assert_eq!(held.items, store.into_values().collect::<Vec<_>>());
+        prop_assert_eq!(listed.items, store.into_values().collect::<Vec<_>>());
     }
 }
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -16,23 +16,23 @@
 
 use crate::{at, dispatcher, part, plan, record};
 
-const ONCE: CallKind = CallKind::Stream(StreamRepeats::Never);
+const NEVER_RETRIED: CallKind = CallKind::Stream(StreamRepeats::Never);
 
 fn backoff(text: &str) -> Withdrawal {
     Withdrawal::Backoff(text.parse().unwrap())
 }
 
-fn say(d: &mut Dispatcher, ms: u64, target: usize, withdrawal: Withdrawal) -> bool {
+fn withdraw(d: &mut Dispatcher, ms: u64, target: usize, withdrawal: Withdrawal) -> bool {
     (d.withdrawals).on_withdrawal(at(ms), &record(target).id, withdrawal)
 }
 
 /// Returns the targets that forty calls reach, each of which ends at once.
-fn reached(d: &mut Dispatcher, now: Instant) -> Vec<String> {
+fn reached_targets(d: &mut Dispatcher, now: Instant) -> Vec<String> {
     let send = |n: u64| {
         // No target has read this prompt yet.
         let own = now.0.as_millis() as u64 * 1_000 + n;
         let prompt = vec![part(own, 3_000), part(own + 500, 50)];
-        let ticket = d.choose(now, &plan(ONCE, prompt, n)).unwrap();
+        let ticket = d.choose(now, &plan(NEVER_RETRIED, prompt, n)).unwrap();
         d.on_end(now, &ticket, Some(Outcome::Good));
         ticket.target.id.to_string()
     };
@@ -45,9 +45,9 @@
 #[test]
 fn a_target_that_leaves_gets_nothing_whatever_its_entry_says_later() {
     let mut d = dispatcher(2);
-    assert!(say(&mut d, 10, 0, Withdrawal::Leaving));
-    assert!(!say(&mut d, 20, 0, Withdrawal::Leaving), "it is known");
-    assert_eq!(reached(&mut d, at(20)), ["t1"]);
+    assert!(withdraw(&mut d, 10, 0, Withdrawal::Leaving));
+    assert!(!withdraw(&mut d, 20, 0, Withdrawal::Leaving), "it is known");
+    assert_eq!(reached_targets(&mut d, at(20)), ["t1"]);
     // Its entry expires while the store is unavailable, and returns as ready.
     let name = record(0).id.to_name();
     let removed = ListChange::Removed(name);
@@ -61,45 +61,48 @@
     d.discovery
         .on_change(at(9_000), put, StoreRevision::first_era(3));
     d.withdrawals.on_tick(at(600_000));
-    assert_eq!(reached(&mut d, at(600_000)), ["t1"]);
+    assert_eq!(reached_targets(&mut d, at(600_000)), ["t1"]);
 }
 
 #[test]
 fn the_next_life_of_a_target_gets_calls() {
     let mut d = dispatcher(1);
-    say(&mut d, 10, 0, Withdrawal::Leaving);
+    withdraw(&mut d, 10, 0, Withdrawal::Leaving);
     let put = ListChange::Put(TargetRecord {
         id: "t0~7".parse().unwrap(),
         ..record(0)
     });
     d.discovery
         .on_change(at(20), put, StoreRevision::first_era(2));
-    assert_eq!(reached(&mut d, at(20)), ["t0~7"]);
+    assert_eq!(reached_targets(&mut d, at(20)), ["t0~7"]);
 }
 
 #[test]
 fn a_target_that_asked_for_time_gets_calls_when_it_is_over() {
     let mut d = dispatcher(2);
-    assert!(say(&mut d, 100, 0, backoff("3")));
-    assert_eq!(reached(&mut d, at(3_099)), ["t1"]);
-    assert_eq!(reached(&mut d, at(3_100)), ["t0", "t1"]);
+    assert!(withdraw(&mut d, 100, 0, backoff("3")));
+    assert_eq!(reached_targets(&mut d, at(3_099)), ["t1"]);
+    assert_eq!(reached_targets(&mut d, at(3_100)), ["t0", "t1"]);
     assert_eq!(d.withdrawals.on_tick(at(3_100)), [record(0).id]);
-    assert!(say(&mut d, 3_200, 0, backoff("0.5")));
-    assert_eq!(reached(&mut d, at(3_699)), ["t1"]);
+    assert!(withdraw(&mut d, 3_200, 0, backoff("0.5")));
+    assert_eq!(reached_targets(&mut d, at(3_699)), ["t1"]);
 }
 
 /// Responses to concurrent calls arrive in any order.
 #[test]
 fn of_times_that_overlap_the_later_end_counts() {
     let mut d = dispatcher(2);
-    say(&mut d, 100, 0, backoff("3"));
-    assert!(!say(&mut d, 150, 0, backoff("1")));
-    assert_eq!(reached(&mut d, at(3_099)), ["t1"]);
-    say(&mut d, 200, 0, backoff("4"));
-    assert_eq!(reached(&mut d, at(4_199)), ["t1"]);
-    assert!(say(&mut d, 300, 0, Withdrawal::Leaving));
-    assert!(!say(&mut d, 400, 0, backoff("1")), "it leaves all the same");
-    assert_eq!(reached(&mut d, at(60_000)), ["t1"]);
+    withdraw(&mut d, 100, 0, backoff("3"));
+    assert!(!withdraw(&mut d, 150, 0, backoff("1")));
+    assert_eq!(reached_targets(&mut d, at(3_099)), ["t1"]);
+    withdraw(&mut d, 200, 0, backoff("4"));
+    assert_eq!(reached_targets(&mut d, at(4_199)), ["t1"]);
+    assert!(withdraw(&mut d, 300, 0, Withdrawal::Leaving));
+    assert!(
+        !withdraw(&mut d, 400, 0, backoff("1")),
+        "it leaves all the same"
+    );
+    assert_eq!(reached_targets(&mut d, at(60_000)), ["t1"]);
 }
 
 #[rstest]
@@ -107,14 +110,14 @@
 #[case::soonest_end(&[(0, backoff("9")), (1, backoff("2.5"))], PlacementError::AllBackedOff { left: Duration::from_millis(2_400) })]
 #[case::one_leaves(&[(0, backoff("9")), (1, Withdrawal::Leaving)], PlacementError::AllBackedOff { left: Duration::from_millis(8_900) })]
 fn where_no_target_wants_calls_none_is_sent(
-    #[case] said: &[(usize, Withdrawal)],
+    #[case] withdrawals: &[(usize, Withdrawal)],
     #[case] expected: PlacementError,
 ) {
     let mut d = dispatcher(2);
-    for (target, withdrawal) in said {
-        say(&mut d, 0, *target, *withdrawal);
+    for (target, withdrawal) in withdrawals {
+        withdraw(&mut d, 0, *target, *withdrawal);
     }
-    let call = plan(ONCE, vec![part(1, 3_000)], 1);
+    let call = plan(NEVER_RETRIED, vec![part(1, 3_000)], 1);
     assert_eq!(d.choose(at(100), &call).unwrap_err(), expected);
     let left = match expected {
         PlacementError::AllBackedOff { left } => Some(left),
@@ -128,16 +131,16 @@
 #[test]
 fn entries_and_answers_are_heeded_together() {
     let mut d = dispatcher(3);
-    say(&mut d, 0, 0, backoff("60"));
+    withdraw(&mut d, 0, 0, backoff("60"));
     let put = ListChange::Put(TargetRecord {
         state: TargetState::Leaving,
         ..record(1)
     });
     d.discovery
         .on_change(at(0), put, StoreRevision::first_era(2));
-    assert_eq!(reached(&mut d, at(10)), ["t2"]);
-    say(&mut d, 20, 2, backoff("30"));
-    let call = plan(ONCE, vec![part(1, 3_000)], 1);
+    assert_eq!(reached_targets(&mut d, at(10)), ["t2"]);
+    withdraw(&mut d, 20, 2, backoff("30"));
+    let call = plan(NEVER_RETRIED, vec![part(1, 3_000)], 1);
     let left = Duration::from_secs(30);
     assert_eq!(
         d.choose(at(20), &call).unwrap_err(),
@@ -177,28 +180,28 @@
     /// Compares choices with a model that keeps all withdrawals.
     #[test]
     fn nothing_is_sent_before_the_last_end_of_what_was_said(
-        said in prop::collection::vec((0_usize..4, 0_u64..4_000, 0_u64..3_000), 0..40),
+        withdrawals in prop::collection::vec((0_usize..4, 0_u64..4_000, 0_u64..3_000), 0..40),
     ) {
         let mut d = dispatcher(4);
         let mut ends: HashMap<usize, u64> = HashMap::new();
-        let mut said = said;
-        said.sort_by_key(|(_, ms, _)| *ms);
-        for (n, (target, ms, for_ms)) in said.into_iter().enumerate() {
-            let call = plan(ONCE, vec![part(n as u64, 500)], n as u64);
-            let is_out = |t: &usize| ends.get(t).is_some_and(|end| ms < *end);
+        let mut withdrawals = withdrawals;
+        withdrawals.sort_by_key(|(_, ms, _)| *ms);
+        for (n, (target, ms, backoff_ms)) in withdrawals.into_iter().enumerate() {
+            let call = plan(NEVER_RETRIED, vec![part(n as u64, 500)], n as u64);
+            let is_backed_off = |t: &usize| ends.get(t).is_some_and(|end| ms < *end);
             match d.choose(at(ms), &call) {
                 Ok(ticket) => {
                     let t = (0..4).find(|t| record(*t).id == ticket.target.id).unwrap();
-                    prop_assert!(!is_out(&t));
+                    prop_assert!(!is_backed_off(&t));
                     d.on_end(at(ms), &ticket, Some(Outcome::Good));
                 }
-                Err(_) => prop_assert!((0..4).all(|t| is_out(&t))),
+                Err(_) => prop_assert!((0..4).all(|t| is_backed_off(&t))),
             }
-            if for_ms > 0 {
-                let time = format!("{:.3}", for_ms as f64 / 1_000.0);
-                say(&mut d, ms, target, backoff(&time));
+            if backoff_ms > 0 {
+                let time = format!("{:.3}", backoff_ms as f64 / 1_000.0);
+                withdraw(&mut d, ms, target, backoff(&time));
                 let end = ends.entry(target).or_default();
-                *end = (*end).max(ms + for_ms);
+                *end = (*end).max(ms + backoff_ms);
             }
         }
     }
