--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn what_was_learned_before_a_routers_life_holds_until_it_learns_itself() {
+fn slot_times_learned_before_a_router_started_hold_until_it_learns_its_own() {
     let service = "writer".parse().unwrap();
     let mut admission = Admission::new(hall("yard"));
     let max_calls = |a: &Admission| a.limit(&service, GOAL).max_calls(16, WITH_CACHE_AFFINITY);
--- a/tests/decisions/calls.rs
+++ b/tests/decisions/calls.rs
@@ -43,7 +43,7 @@
 /// The shares added up to 2.1: the last router had `"share":1.0` 30 ms after the third had begun to
 /// stop, and 175 retries were sent where 167 were allowed.
 #[test]
-fn parts_of_routers_that_go_are_not_used_again_within_a_window() {
+fn shares_of_routers_that_stop_are_not_used_again_within_a_window() {
     let window = Duration::from_secs(10);
     let mut share = FleetShare::default();
     for ms in (0..20_000).step_by(100) {
@@ -66,7 +66,7 @@
 /// A router does not know what its previous incarnation retried. While it stands still for a
 /// window, other routers may have taken over its share.
 #[test]
-fn a_router_that_starts_or_stood_still_has_a_tenth_of_its_part_for_a_window() {
+fn a_router_that_starts_or_stood_still_has_a_tenth_of_its_share_for_a_window() {
     let window = Duration::from_secs(10);
     let mut share = FleetShare::default();
     let mut usable_at = |ms: u64| {
--- a/tests/decisions/claims.rs
+++ b/tests/decisions/claims.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_call_that_ended_tells_how() {
+fn a_call_that_ended_reports_its_outcome() {
     let mut shard = ClaimShard::default();
     let step = |request, kind, outcome| ClaimStep {
         key: ClaimKey([1; 16]),
--- a/tests/decisions/many_targets.rs
+++ b/tests/decisions/many_targets.rs
@@ -23,7 +23,8 @@
     plan(RESUMABLE, prompt, own)
 }
 
-/// Result of calls that were sent one after the other, each of which took `lasts`.
+/// Result of calls that were sent one after the other, each of which took
+/// `call_duration`.
 #[derive(Debug)]
 struct RunTotals {
     /// Number of prompt tokens that targets had to read.
@@ -116,7 +117,7 @@
 /// When all preselected targets are full or unhealthy, the call is neither refused nor sent to a
 /// suspected target.
 #[test]
-fn where_none_of_the_few_is_of_use_all_are_weighed() {
+fn all_targets_are_scored_where_no_preselected_one_is_usable() {
     let mut d = dispatcher(1_500);
     let mut tried = Vec::new();
     for n in 0..80 {
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -89,7 +89,7 @@
 }
 
 /// 209 of 2,180 calls reached targets with twice the mean load, as all prompts with the same
-/// beginning were sent to one target before routers heard of one another (grown puente, seconds 1
+/// beginning were sent to one target before routers knew of one another (grown puente, seconds 1
 /// to 6).
 #[test]
 fn prompts_with_the_same_beginning_spread_before_anyone_hears_of_them() {
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_chat_that_returns_through_another_router_finds_its_target_without_a_word() {
+fn a_chat_that_returns_through_another_router_finds_its_target_without_announcements() {
     for chat in 2..60 {
         let first = dispatcher(9).choose(at(0), &chat_turn(chat, 0)).unwrap();
         let again = dispatcher(9).choose(at(0), &chat_turn(chat, 5)).unwrap();
@@ -330,7 +330,7 @@
 /// After all routers had lost power, announcements that each had sent before it knew its peers were
 /// lost, and 0.6 M tokens were read again (grown puente trouble-1).
 #[test]
-fn a_young_router_tells_once_more_what_it_told_before_it_knew_its_peers() {
+fn a_young_router_repeats_announcements_that_it_made_before_it_knew_its_peers() {
     let mut d = dispatcher(3);
     d.choose(at(0), &chat_turn(7, 3)).unwrap();
     let first = d.cache.take_announcements(1_000, true);
--- a/tests/decisions/prompts.rs
+++ b/tests/decisions/prompts.rs
@@ -51,7 +51,7 @@
 /// A value that an earlier version saved under the same key, or a truncated one, must not cause a
 /// failure.
 #[test]
-fn places_of_no_part_are_passed_over() {
+fn locations_of_unknown_parts_are_ignored() {
     let (parts, target) = (0_u8, "t1".parse::<TargetId>().unwrap());
     let bytes = postcard::to_stdvec(&(parts, vec![(target, vec![3_u32])])).unwrap();
     let restored: PromptSnapshot = postcard::from_bytes(&bytes).unwrap();
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -34,7 +34,7 @@
 #[rstest]
 #[case(2, false)]
 #[case(3, true)]
-fn the_third_target_that_ends_under_a_request_is_the_last(
+fn a_request_is_quarantined_once_three_targets_crashed_under_it(
     #[case] crashes: usize,
     #[case] is_quarantined: bool,
 ) {
@@ -49,7 +49,7 @@
 
 /// A request crashed a target through each of three routers, none of which saw more than one crash.
 #[test]
-fn endings_at_several_routers_are_one_count_in_whatever_order_they_are_heard_of() {
+fn crashes_at_several_routers_are_counted_together_in_any_order() {
     let mut routers: Vec<Quarantine> = (0..3).map(|_| Quarantine::default()).collect();
     for (i, router) in routers.iter_mut().enumerate() {
         router.on_crash(at(100), REQUEST, target(i));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_same_ending_told_twice_counts_once() {
+fn a_crash_that_is_announced_twice_counts_once() {
     let mut here = Quarantine::default();
     here.on_crash(at(1_000), REQUEST, target(0));
     let notices = here.crash_notices(at(1_050));
@@ -86,7 +86,7 @@
 
 /// A target that restarts under its name can crash again.
 #[test]
-fn endings_of_one_name_count_where_they_lie_apart() {
+fn crashes_of_one_target_count_separately_when_they_are_far_apart() {
     let mut quarantine = Quarantine::default();
     for i in 0..3 {
         quarantine.on_crash(at(i * 2_000), REQUEST, target(0));
@@ -97,7 +97,7 @@
 /// When the incident was replayed, up to eight other calls broke off together with the request each
 /// time.
 #[test]
-fn calls_beside_it_are_let_through() {
+fn calls_that_break_off_with_a_crashing_request_are_not_quarantined() {
     let mut quarantine = Quarantine::default();
     let concurrent_request = |crash: u64, n: u64| Fingerprint(crash * 100 + n);
     for crash in 0..20 {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn an_ending_is_announced_for_a_while_only() {
+fn a_crash_is_announced_for_a_while_only() {
     let quarantine = after_crashes(1);
     assert_eq!(quarantine.crash_notices(at(1_000)).len(), 1);
     let notice_time = Duration::from_secs(3);
@@ -221,7 +221,7 @@
 /// While the store has no entry of a quarantined request, routers notify one another of it, and a
 /// starting router learns of it from any peer.
 #[test]
-fn what_no_entry_tells_of_is_told_by_peers_until_one_does() {
+fn peers_announce_a_quarantined_request_until_the_store_has_its_entry() {
     let mut first = after_crashes(3);
     let mut started = Quarantine::default();
     let notices = first.quarantine_notices(at(60_000));
@@ -257,7 +257,7 @@
 /// A request that a target answered is not quarantined because of peers' quarantine notices, nor
 /// because of their crash notices.
 #[test]
-fn an_answer_outweighs_what_peers_hold_back() {
+fn a_request_that_was_answered_is_not_quarantined_by_notices_of_peers() {
     let notices = after_crashes(3).quarantine_notices(at(5_000));
     let mut answered = Quarantine::default();
     answered.on_answered(at(5_000), REQUEST);
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -146,7 +146,7 @@
     }
 
     #[test]
-    fn a_chat_keeps_its_name_as_it_grows() {
+    fn a_chat_keeps_its_conversation_key_as_it_grows() {
         let turn = |more: &str| {
             let body = format!(
                 r#"{{"model": "desk", "messages": [{{"role": "user", "content": "One?"}}{more}]}}"#
--- a/tests/decisions/set_back.rs
+++ b/tests/decisions/set_back.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns the record of an instance of a target, which started at `birth`.
+/// Returns the record of an instance of a target, which started at `started_at`.
 fn instance(n: usize, started_at: u64) -> TargetRecord {
     let name: TargetName = format!("t{n}").parse().unwrap();
     TargetRecord {
@@ -55,7 +55,8 @@
     names
 }
 
-/// Instant at which the store is reverted. What it lost counts as written again at `settled()`.
+/// Instant at which the store is reverted. What it lost counts as written again at
+/// `settled_at()`.
 const REVERTED_AT: Instant = Instant(Duration::from_secs(10));
 
 fn settled_at() -> Instant {
--- a/tests/decisions/targets.rs
+++ b/tests/decisions/targets.rs
@@ -94,7 +94,7 @@
 /// The store was unavailable, entries expired, and all routers were lost: the first list of a new
 /// router lacks targets that are alive.
 #[test]
-fn targets_that_lapsed_before_this_life_count_for_a_moment() {
+fn targets_whose_entries_expired_before_this_router_started_count_for_a_moment() {
     let mut list = Discovery::default();
     list.on_list(
         at(0),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_target_that_left_before_this_life_is_not_taken_for_one_that_lapsed() {
+fn a_target_that_left_before_this_router_started_is_not_taken_for_one_whose_entry_expired() {
     let mut list = Discovery::default();
     let listed = (0..9)
         .map(|n| (record(n), StoreRevision::first_era(9)))
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_target_that_was_leaving_before_this_life_gets_nothing() {
+fn a_target_that_was_leaving_before_this_router_started_gets_nothing() {
     let mut list = Discovery::default();
     list.on_list(at(0), Vec::new(), StoreRevision::first_era(9));
     let leaving = TargetRecord {
@@ -139,7 +139,7 @@
     assert_eq!(list.serving(&"writer".parse().unwrap()).len(), 1);
 }
 
-/// Returns a target's entry as written by its instance that started at `birth`.
+/// Returns a target's entry as written by its instance that started at `started_at`.
 fn instance(n: usize, started_at: u64) -> TargetRecord {
     let record = record(n);
     TargetRecord {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_saved_life_is_not_taken_for_one_that_lapsed_where_the_next_one_is_listed() {
+fn a_saved_instance_is_not_taken_for_one_whose_entry_expired_where_the_next_one_is_listed() {
     let mut list = Discovery::default();
     let now = vec![(instance(1, 9_000), StoreRevision::first_era(9))];
     list.on_list(at(0), now, StoreRevision::first_era(9));
@@ -191,7 +191,7 @@
 
 /// State of one instance of a target must not affect calls to the next one.
 #[test]
-fn nothing_known_of_a_former_life_applies_to_the_next_one() {
+fn nothing_known_of_a_former_instance_applies_to_the_next_one() {
     let mut d = dispatcher(0);
     let revision = StoreRevision::first_era(1);
     let list = vec![(instance(0, 5_000), revision), (record(1), revision)];
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_next_life_of_a_target_gets_calls() {
+fn the_next_instance_of_a_target_gets_calls() {
     let mut d = dispatcher(1);
     withdraw(&mut d, 10, 0, Withdrawal::Leaving);
     let put = ListChange::Put(TargetRecord {
