--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -287,8 +287,8 @@
         let target = (0..4).find(|i| record(*i).id == ticket.target.id).unwrap();
         calls[target] += 1;
     }
-    // The mean is 40 calls per 64 slots, so 20 at this target. With a cap factor of 2, of which 0.4 is used,
-    // at most 1.4 times the mean is allowed, and three calls.
+    // The mean is 40 calls per 64 slots, so 20 at this target. The cap factor of 2 and the bound fraction
+    // of 0.4 allow 1.4 times the mean, and three calls are added.
     assert!(f64::from(calls[0]) <= 20.0 * 1.4 + 3.0, "{calls:?}");
     assert!(calls[1..].iter().all(|c| *c > calls[0]), "{calls:?}");
 }
--- a/tests/decisions/set_back.rs
+++ b/tests/decisions/set_back.rs
@@ -55,10 +55,10 @@
     names
 }
 
-/// Instant at which the store is reverted. What it lost counts as written again at
-/// `settled_at()`.
+/// Instant at which the store is reverted.
 const REVERTED_AT: Instant = Instant(Duration::from_secs(10));
 
+/// Returns the instant at which all that the store lost counts as written again.
 fn settled_at() -> Instant {
     REVERTED_AT + RETURN_GRACE
 }
--- a/tests/decisions/withdrawals.rs
+++ b/tests/decisions/withdrawals.rs
@@ -127,7 +127,8 @@
 }
 
 /// The last target that accepts calls is chosen although others are preferred by their prompts.
-/// Where one target leaves by its entry alone, the error states the end of the others' backoffs.
+/// A target that leaves by its entry alone does not count as withdrawn by a response: the error states
+/// the soonest end of the others' backoffs.
 #[test]
 fn entries_and_answers_are_heeded_together() {
     let mut d = dispatcher(3);
