--- a/tests/load/cold_targets.rs
+++ b/tests/load/cold_targets.rs
@@ -1,5 +1,5 @@
-//! Engines that are cold: what reaches them within a second from all routers together, and what is served
-//! meanwhile.
+//! Cold engines: the calls that they get within a second from all routers together, and the calls that are
+//! served meanwhile.
 
 use std::time::Duration;
 
@@ -8,20 +8,23 @@
 
 use crate::model::{Change, Fleet, Load, Model, Outcome};
 
-/// What a cold engine bears, and what is allowed in any second: 1.5 times that and five.
+/// Call rate that a cold engine tolerates, and for how long it is cold.
 const WARM_UP: WarmUp = WarmUp {
     duration: Duration::from_secs(3),
     calls_per_s: 8.9,
 };
+/// Maximum number of calls that one cold engine may get in any second: 1.5 times the tolerated rate plus
+/// five.
 const ALLOWED: usize = 18;
 
-/// What all routers together send where they agree on who lives.
+/// Maximum number of calls that all routers together send to a cold engine in any second, where they agree on
+/// which routers are live.
 const BORNE: usize = 8;
 
-/// Calls a second for each engine that there is.
+/// Usual number of calls per second and engine.
 const USUAL: f64 = 4.8;
 
-/// Fleets of the users' sheets and of letter 1's size, with fewer engines for the last.
+/// Returns a load on a fleet of the users' sheets, or of the design size (380 routers) with fewer engines.
 fn fleet(routers: usize, targets: usize, change: Change) -> Load {
     Load {
         routers,
@@ -45,8 +48,8 @@
     cut_off: 0,
 };
 
-/// A third of the engines turns cold, or as many are added: without shares up to 18 calls met one within a
-/// second.
+/// A third of the engines turns cold, or as many cold engines are added. Where routers don't divide the
+/// tolerated rate among themselves, up to 18 calls reached one cold engine within a second.
 #[rstest]
 fn no_cold_engine_gets_more_than_it_bears(
     #[values((7, 9), (73, 90), (295, 240), (380, 300))] (routers, targets): (usize, usize),
@@ -74,8 +77,9 @@
     assert!(in_time > 0.97, "{in_time} in time");
 }
 
-/// All at once: they are given what they bear, and what is beyond that is refused at once. Without shares 31
-/// of twice as many calls met one within a second.
+/// Where all engines turn cold at once, they get the calls that they tolerate, and further calls are refused
+/// at once. Where routers don't divide the tolerated rate among themselves, 31 calls reached one engine
+/// within a second at twice the load.
 #[rstest]
 #[case::small(7, 9, USUAL, 0.9)]
 #[case::shifted(73, 90, USUAL, 0.85)]
@@ -106,7 +110,8 @@
     assert!(in_time > least, "{in_time} in time");
 }
 
-/// Routers that have just started know of no other; engines that are all cold then get what is asked of all.
+/// Routers that have just started know no other router. They send cold engines no calls while others are
+/// warm; if all engines were cold, they would get all calls.
 #[test]
 fn routers_that_know_of_no_other_leave_cold_engines_alone_where_others_are_warm() {
     let change = Change { cooled: 9, ..NONE };
--- a/tests/load/crashing.rs
+++ b/tests/load/crashing.rs
@@ -1,8 +1,8 @@
-//! A request that ends each target that begins to run it, and comes again through any router, beside innocent
-//! calls; some routers are suspended meanwhile and go on with what they knew before.
+//! A request that crashes each target that starts to run it, and is repeated through random routers beside
+//! harmless calls. Some routers are suspended for a while and then resume with the state they had.
 //!
-//! What is allowed: three sends later than three seconds after the third target has ended. Where nothing holds it back, all 30 returns that
-//! come then are sent.
+//! The request may be sent three times later than three seconds after the third crash. Without a quarantine,
+//! all 30 repetitions that arrive then are sent.
 
 use std::{ops::Range, time::Duration};
 
@@ -21,15 +21,18 @@
     ..Load::CALM
 };
 
-/// How long routers have to learn of the third ending, and how often the request may be sent after it.
+/// Time in which routers have to learn of the third crash.
 const KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// Maximum number of times that the request may be sent after that time.
 const SENT_AFTER: usize = 3;
 
-/// When the storm would be at its worst, and after it.
+/// Seconds of the run in which the request is repeated.
 const MEANWHILE: Range<usize> = 4..20;
+/// Seconds of the run after the worst of the crashes would be over.
 const AFTERWARDS: Range<usize> = 10..20;
 
-/// Before there was anything that held it back, each return ended a target: the calls beside it broke off with them.
+/// Without a quarantine, each repetition of the request crashed a target, and the other calls there broke
+/// off.
 #[rstest]
 #[case::small(7, 9, 60.0, false)]
 #[case::large(295, 165, 900.0, true)]
--- a/tests/load/lock_out.rs
+++ b/tests/load/lock_out.rs
@@ -1,8 +1,8 @@
-//! Plain targets that have nothing to do, after a peak or beside one that is cut off: what routers refuse then
-//! could have been served.
+//! Guards against routers that refuse calls while targets of a plain service are idle, after a peak or while
+//! another target is cut off.
 //!
-//! Three targets with six slots and work of 30 ms can do 600 calls a second, as on the users' sheets; 180 are
-//! asked.
+//! Three targets with six slots each and 30 ms per call can serve 600 calls a second, as on the users'
+//! sheets; the usual load is 180 calls a second.
 
 use std::{ops::Range, time::Duration};
 
@@ -31,7 +31,7 @@
     cut_off: 1,
 };
 
-/// The part of the calls that were refused at their first try, second by second.
+/// Returns the fraction of calls refused at their first try for each second, and the fraction in time.
 fn refused(load: Load, seconds: Range<usize>) -> (Vec<f64>, f64) {
     let mut model = Model::new(load);
     model.run(seconds.end as u64);
@@ -39,8 +39,8 @@
     (model.refused_by_second(seconds), in_time)
 }
 
-/// Four times the usual for two seconds, which is 1.2 times what targets can do. A second after its end
-/// targets are idle and counts are new: 0.16 to 0.85 of the calls of that second were refused.
+/// A peak of four times the usual load for two seconds is 1.2 times the targets' capacity. One second after
+/// its end targets are idle and counts are recent, yet 0.16 to 0.85 of the calls of that second were refused.
 #[rstest]
 fn after_a_peak_idle_targets_are_used(
     #[values(7, 73, 295, 380)] routers: usize,
@@ -59,8 +59,8 @@
     assert!(in_time > 0.97, "{in_time} in time");
 }
 
-/// Calls that hang at a target which is cut off say nothing of the others, which have room for all: 0.22 to
-/// 0.48 of the calls of the third second were refused before 295 and 380 routers.
+/// Calls that hang at a cut-off target tell nothing about the other targets, which have capacity for all
+/// calls. With 295 and 380 routers, 0.22 to 0.48 of the calls of the third second were refused.
 #[rstest]
 fn calls_that_hang_at_one_target_keep_none_from_the_others(
     #[values(7, 73, 295, 380)] routers: usize,
--- a/tests/load/main.rs
+++ b/tests/load/main.rs
@@ -1,4 +1,4 @@
-//! Loads played in virtual time on the very decision types that the daemon runs.
+//! Simulated loads in virtual time, on the decision types that the daemon runs.
 
 mod cold_targets;
 mod crashing;
--- a/tests/load/model.rs
+++ b/tests/load/model.rs
@@ -1,4 +1,4 @@
-//! A model of callers, routers and targets in virtual time.
+//! Simulation of callers, routers and targets in virtual time.
 
 mod changes;
 mod crashes;
@@ -40,21 +40,23 @@
 pub use withdrawals::Withdrawing;
 use withdrawals::Withdrawn;
 
-/// How fast targets are: time to read a token, to set a prompt up, and to answer.
+/// Time in which an engine reads a token of a prompt.
 const READ_TOKEN: Duration = Duration::from_micros(10);
+/// Time in which an engine sets up a prompt.
 const SET_UP: Duration = Duration::from_millis(40);
+/// Mean time from an engine's first event to the end of its answer.
 const ANSWER: Duration = Duration::from_millis(800);
 
-/// How answers differ in length, beside the mean.
+/// Range of answer times, as factors on the mean.
 const ANSWER_SPREAD: Range<f64> = 0.1..1.9;
 
-/// How long a call of a plain service holds its slot.
+/// Time for which a call of a plain service occupies its slot.
 const PLAIN_WORK: Duration = Duration::from_millis(30);
 
-/// Targets that one call is sent to at the most.
+/// Maximum number of targets that one call is sent to.
 const ATTEMPTS: usize = 3;
 
-/// Accounts that send alike where none surges.
+/// Number of accounts, which send at the same rate unless one surges.
 const ACCOUNTS: usize = 10;
 
 #[derive(Debug, Clone, Copy)]
@@ -64,7 +66,7 @@
     account: usize,
     prompt: u64,
     tries: u32,
-    /// Which request it is; a number of its own but for [`CRASHER`].
+    /// Number of the request: unique for each call, except for calls with the request [`CRASHER`].
     request: u64,
 }
 
@@ -102,13 +104,14 @@
     count: u64,
     rng: Pcg64,
     figures: Vec<Figures>,
-    /// What hubs were told, which they pass on when they tell next.
+    /// Sums that hubs received, which they pass on with their next updates.
     at_hubs: Option<HallSums>,
-    /// What hubs know of accounts, and when it was last told.
+    /// Account rates that hubs know.
     rates_at_hubs: Option<HallRates>,
+    /// When hubs last reported account rates.
     rates_told: Instant,
     crashed: Crashed,
-    /// Targets that started again.
+    /// Number of targets that were started after a crash.
     starts: u64,
     withdrawn: Withdrawn,
 }
@@ -155,7 +158,7 @@
         model
     }
 
-    /// Plays on until so many seconds after the start.
+    /// Runs the simulation until `until_s` seconds after the start.
     pub fn run(&mut self, until_s: u64) {
         let until = Instant::from_millis(until_s * 1_000);
         while let Some(Reverse((at, n))) = self.events.pop() {
@@ -196,7 +199,7 @@
             true => (load.surge, load.account_surge),
             false => (1.0, 1.0),
         };
-        // The first account and all others, in parts of the usual rate.
+        // Rates of all other accounts and of all accounts, as fractions of the usual rate.
         let others = 1.0 - 1.0 / ACCOUNTS as f64;
         let all = others + first / ACCOUNTS as f64;
         let rate = load.calls_per_s * factor * all;
@@ -235,7 +238,7 @@
         self.choose(n, call, router, plan);
     }
 
-    /// Sends a call to a target, or on to another one that it was not sent to yet.
+    /// Chooses a target that the call was not sent to yet, and sends the call to it or refuses it.
     fn choose(&mut self, n: u64, call: Call, router: usize, plan: CallPlan) {
         if self.holds_back(router, &call) {
             return;
@@ -318,7 +321,7 @@
         }
     }
 
-    /// A target did not take a call: another one is asked.
+    /// Sends a call that a target did not complete to another target.
     fn send_on(
         &mut self,
         n: u64,
@@ -333,7 +336,7 @@
         self.choose(n, call, router, plan);
     }
 
-    /// Whether a target has twice the mean of its service, and three calls more.
+    /// Returns whether a target has more calls than twice the mean of its service plus three.
     fn is_above(&self, target: usize) -> bool {
         let alive = self.targets.iter().filter(|t| !t.is_lost);
         let mean = alive.clone().map(Target::calls).sum::<usize>() as f64 / alive.count() as f64;
@@ -387,7 +390,7 @@
         }
     }
 
-    /// The time of a call is up that hangs at a target which is cut off.
+    /// Ends a call that hangs at a cut-off target, when its deadline has passed.
     fn on_given_up(&mut self, n: u64) {
         if let Some(sent) = self.sent.remove(&n) {
             let router = &mut self.routers[sent.router];
--- a/tests/load/model/changes.rs
+++ b/tests/load/model/changes.rs
@@ -1,4 +1,4 @@
-//! Targets that come or go.
+//! Targets that are added, lost, cut off or turn cold during a run.
 
 use std::{ops::Range, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use super::{Model, Sent, new_target, record};
 
-/// From when on a target that was lost is not listed any more.
+/// Time after the change at which lost targets leave the list of targets.
 pub(super) const LISTED_ON: Duration = Duration::from_secs(3);
 
 impl Model {
@@ -23,7 +23,8 @@
                         plan,
                         ..
                     } = sent;
-                    // Events of the run that was lost are still due under its number.
+                    // Events of the lost run are still scheduled under its number, so the retry gets a new
+                    // one.
                     self.count += 1;
                     let n = self.count;
                     self.send_on(n, call, router, &ticket, plan, Outcome::Broken);
--- a/tests/load/model/crashes.rs
+++ b/tests/load/model/crashes.rs
@@ -1,4 +1,4 @@
-//! A request that ends each target that begins to run it and comes again, and routers whose VM is suspended.
+//! A repeated request that crashes each target that runs it, and routers whose VM is suspended.
 
 use std::{collections::BTreeSet, ops::Range, time::Duration};
 
@@ -9,46 +9,49 @@
 
 use super::{Call, Event, Model, Sent, new_target, record};
 
-/// The request's fingerprint; other calls have their own.
+/// Fingerprint of the request that crashes targets; every other call has a fingerprint of its own.
 pub(super) const CRASHER: u64 = 0;
 
-/// How long a target that ended is away.
+/// Time between a target's crash and the start of its replacement.
 const AWAY: Duration = Duration::from_millis(2_500);
 
-/// How long the store takes to show all readers what was written.
+/// Delay after which all readers see a write to the store.
 const STORED_AFTER: Duration = Duration::from_millis(400);
 
-/// What is played of it.
+/// Schedule of the crashing request and of the suspended routers.
 #[derive(Debug, Clone, Copy)]
 pub struct Crashes {
+    /// When the request is sent first, counted from the start of the run.
     pub from: Duration,
-    /// The pause between two returns, each through any router.
+    /// Interval between two arrivals of the request, each at a random router.
     pub every: Duration,
-    /// Routers, from the first, that are suspended from then on for so long.
+    /// Number of routers, from the first, that are suspended.
     pub suspended: usize,
+    /// When the suspension starts, counted from the start of the run.
     pub suspended_from: Duration,
+    /// How long the suspension lasts.
     pub suspended_for: Duration,
 }
 
-/// What came of it.
+/// Results of a run with a crashing request.
 #[derive(Debug, Default)]
 pub struct Crashed {
-    /// When targets ended.
+    /// When targets crashed.
     pub ended: Vec<Instant>,
-    /// When its calls were sent to targets.
+    /// When calls with the crashing request were sent to targets.
     pub sent: Vec<Instant>,
-    /// Its calls that were refused.
+    /// Number of calls with the crashing request that were rejected as quarantined.
     pub refused: u64,
-    /// Calls beside it that were refused as held back.
+    /// Number of other calls that were rejected as quarantined.
     pub others_refused: u64,
-    /// Calls beside it that broke off with a target.
+    /// Number of other calls that broke off when their target crashed.
     pub broken_off: u64,
-    /// What the store holds back, and from when on all readers know.
+    /// Requests that the store lists as quarantined, each with the instant from which all readers see it.
     stored: Vec<(Instant, Fingerprint)>,
 }
 
 impl Crashed {
-    /// How often it was sent so long after the third target had ended.
+    /// Returns how often the request was sent later than `after` after the third crash.
     pub fn sent_later_than(&self, after: Duration) -> usize {
         let Some(third) = self.ended.get(2) else {
             return 0;
@@ -72,7 +75,7 @@
         self.on_call(call);
     }
 
-    /// Routers that take calls and hear of others now.
+    /// Returns the routers that are not suspended now: they take calls and receive updates.
     pub(super) fn awake(&self) -> Range<usize> {
         let suspended = self.load.crashes.map_or(0, |c| {
             let since = self.now.0.checked_sub(c.suspended_from);
@@ -82,7 +85,7 @@
         suspended..self.routers.len()
     }
 
-    /// Whether a router holds a call back.
+    /// Returns whether a router has a call's request in quarantine, and counts the rejection.
     pub(super) fn holds_back(&mut self, router: usize, call: &Call) -> bool {
         let request = Fingerprint(call.request);
         let quarantine = &self.routers[router].quarantine;
@@ -92,7 +95,7 @@
         holds
     }
 
-    /// A target ends, with all that it runs.
+    /// Handles the crash of a target: all its calls break off and their routers record the crash.
     pub(super) fn on_target_ends(&mut self, target: usize) {
         self.crashed.ended.push(self.now);
         let hash = TargetHash::from(&record(target, self.load.slots).id);
@@ -122,7 +125,7 @@
         self.after(AWAY, Event::TargetReturns);
     }
 
-    /// A target starts, under a name of its own; the list is as it is now.
+    /// Starts a target with a new name, and sends all routers the current list of targets.
     pub(super) fn on_target_returns(&mut self) {
         self.targets.push(new_target(&self.load));
         self.starts += 1;
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Routers that are awake hear of endings at the others, and of what the store holds.
+    /// Sends crash notices among the routers that are not suspended, and tells them the stored quarantines.
     pub(super) fn tell_endings(&mut self) {
         let (now, awake) = (self.now, self.awake());
         let notices = self.routers[awake.clone()]
@@ -157,12 +160,12 @@
         }
     }
 
-    /// What came of the request that ends targets.
+    /// Returns the results for the crashing request.
     pub fn crashed(&self) -> &Crashed {
         &self.crashed
     }
 
-    /// The most suspects that any router remembers.
+    /// Returns the maximum number of suspected requests that any router tracks.
     pub fn most_suspects(&self) -> usize {
         let suspects = self.routers.iter().map(|r| r.quarantine.suspect_count());
         suspects.max().unwrap_or_default()
--- a/tests/load/model/figures.rs
+++ b/tests/load/model/figures.rs
@@ -1,4 +1,4 @@
-//! What came of calls, second by second.
+//! Results of calls for each second of a run.
 
 use std::ops::Range;
 
@@ -6,32 +6,38 @@
 
 use super::{Call, Model, target::Target};
 
-/// What came of a call, counted from its first try.
+/// Whether a call's first event arrived within the goal, counted from the call's first try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     InTime,
     Late,
 }
 
-/// What happened in one second, by when calls were first tried; what was sent, by when it was.
+/// Counts for one second of a run.
+///
+/// Calls and their results count in the second of the call's first try, arrivals at targets in the second
+/// in which they were sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Figures {
     pub(super) calls: u64,
     pub(super) in_time: u64,
     pub(super) late: u64,
-    /// Of all accounts but the first one.
+    /// Number of calls of all accounts except the first one, which may surge.
     pub(super) others: u64,
     pub(super) others_in_time: u64,
+    /// Number of calls that were refused at their first try.
     pub(super) refused_first: u64,
+    /// Number of calls that were refused at their retry.
     pub(super) refused_again: u64,
+    /// Number of prompt tokens that targets fetched from other targets.
     pub(super) moved_tokens: u64,
-    /// Arrivals at targets.
+    /// Number of arrivals at targets.
     pub(super) sent: u64,
-    /// Of these, at targets that had more than they may beside the others.
+    /// Number of arrivals at targets that had more than twice the mean number of calls plus three.
     pub(super) sent_above: u64,
-    /// Of these, turned away for want of room.
+    /// Number of arrivals that a full target rejected.
     pub(super) turned_away: u64,
-    /// Of these, at targets that were lost and still listed.
+    /// Number of arrivals at targets that were lost and still listed.
     pub(super) sent_to_lost: u64,
 }
 
@@ -52,7 +58,7 @@
         &mut self.figures[second]
     }
 
-    /// The part of the calls first tried within these seconds that came to an outcome.
+    /// Returns the fraction of the calls first tried within these seconds that had the given outcome.
     pub fn share(&self, seconds: Range<usize>, outcome: Outcome) -> f64 {
         let of = |f: &Figures| match outcome {
             Outcome::InTime => f.in_time,
@@ -61,48 +67,49 @@
         self.ratio(seconds, of, |f| f.calls)
     }
 
-    /// The part of the calls of all accounts but the first one that were answered in time.
+    /// Returns the fraction of the calls of all accounts except the first one that were answered in time.
     pub fn others_in_time(&self, seconds: Range<usize>) -> f64 {
         self.ratio(seconds, |f| f.others_in_time, |f| f.others)
     }
 
-    /// The most calls that arrived at one cold target within a second.
+    /// Returns the maximum number of calls that arrived at one cold target within a second.
     pub fn most_while_cold(&self) -> usize {
         let most = self.targets.iter().map(Target::most_while_cold);
         most.max().unwrap_or_default()
     }
 
-    /// Tokens that were moved between targets for each call first tried within these seconds.
+    /// Returns the mean number of tokens moved between targets per call first tried within these seconds.
     pub fn moved_per_call(&self, seconds: Range<usize>) -> f64 {
         self.ratio(seconds, |f| f.moved_tokens, |f| f.calls)
     }
 
-    /// The part of what arrived at targets that were not lost that they turned away for want of room.
+    /// Returns the fraction of the arrivals at targets that were not lost which a full target rejected.
     pub fn turned_away(&self, seconds: Range<usize>) -> f64 {
         self.ratio(seconds, |f| f.turned_away, |f| f.sent - f.sent_to_lost)
     }
 
-    /// The part of what was sent that met targets which were lost.
+    /// Returns the fraction of the arrivals that were at lost targets.
     pub fn sent_to_lost(&self, seconds: Range<usize>) -> f64 {
         self.ratio(seconds, |f| f.sent_to_lost, |f| f.sent)
     }
 
-    /// The part of what arrived at targets that met twice the mean of their service and three calls.
+    /// Returns the fraction of the arrivals at targets with more calls than twice the service's mean plus
+    /// three.
     pub fn sent_above(&self, seconds: Range<usize>) -> f64 {
         self.ratio(seconds, |f| f.sent_above, |f| f.sent)
     }
 
-    /// The part of the callers that were refused once that were refused twice.
+    /// Returns the fraction of the callers refused once that were refused again.
     pub fn refused_again(&self) -> f64 {
         self.refused_again_of(0..self.figures.len())
     }
 
-    /// The same of callers that came first within these seconds.
+    /// Returns the same fraction for callers whose first try was within these seconds.
     pub fn refused_again_of(&self, seconds: Range<usize>) -> f64 {
         self.ratio(seconds, |f| f.refused_again, |f| f.refused_first)
     }
 
-    /// The part of first tries that were refused, in each of these seconds.
+    /// Returns the fraction of first tries that were refused in each of these seconds.
     pub fn refused_by_second(&self, seconds: Range<usize>) -> Vec<f64> {
         let share = |f: &Figures| f.refused_first as f64 / f.calls as f64;
         self.figures[seconds].iter().map(share).collect()
--- a/tests/load/model/load.rs
+++ b/tests/load/model/load.rs
@@ -1,4 +1,4 @@
-//! What is played.
+//! Parameters of a simulated load.
 
 use std::time::Duration;
 
@@ -6,49 +6,51 @@
 
 use super::{crashes::Crashes, withdrawals::Withdrawing};
 
-/// A load to play.
+/// A fleet, the calls sent to it, and the faults that happen during a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     pub routers: usize,
     pub targets: usize,
     pub slots: u32,
-    /// Prompts that calls share.
+    /// Number of different prompts that calls share.
     pub prompts: usize,
     pub calls_per_s: f64,
-    /// How many times as many calls come within the surge.
+    /// Factor on the call rate during the surge.
     pub surge: f64,
-    /// How many times as many calls come of one account in ten within the surge.
+    /// Factor on the call rate of one account in ten during the surge.
     pub account_surge: f64,
     pub surge_from_s: u64,
     pub surge_to_s: u64,
+    /// Maximum time from a call's first try to its first event, for a call in time.
     pub goal: Duration,
+    /// Time after which a caller gives up.
     pub deadline: Duration,
     pub seed: u64,
     pub service: Service,
-    /// Whether counts go through hubs, and are told as seldom as in a fleet of this size.
+    /// Whether counts pass through hubs, at the interval that a fleet of this size uses.
     pub hubs: bool,
     pub change: Option<Change>,
-    /// What cold targets bear; `None` where nothing is asked of that.
+    /// Call rate that a cold target tolerates, and for how long it is cold; `None` for no limit.
     pub warm_up: Option<WarmUp>,
     pub fleet: Fleet,
-    /// A request that ends targets; `None` where none does.
+    /// A request that crashes targets; `None` if there is none.
     pub crashes: Option<Crashes>,
-    /// Targets that want no calls; `None` where none says so.
+    /// Targets that accept no calls; `None` if all accept calls.
     pub withdrawing: Option<Withdrawing>,
 }
 
-/// What routers know of one another.
+/// Which other routers each router knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fleet {
-    /// All of all.
+    /// Each router knows all others.
     Whole,
-    /// Each half only of its own.
+    /// Each router knows only the routers of its own half.
     Halves,
-    /// Each only of itself.
+    /// Each router knows only itself.
     Strangers,
 }
 
-/// What the targets are.
+/// Kind of service that the targets run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Service {
     /// Model engines, which read prompts.
@@ -57,20 +59,25 @@
     Plain,
 }
 
-/// Targets that come or go.
+/// Targets that are added, lost, cut off or turn cold.
 #[derive(Debug, Clone, Copy)]
 pub struct Change {
+    /// Seconds from the start of the run to the change.
     pub at_s: u64,
+    /// Number of targets that are added; they are cold if `Load::warm_up` is set.
     pub added: usize,
+    /// Number of targets that are lost.
     pub lost: usize,
-    /// Of those that were there, how many turn cold.
+    /// Number of existing targets that turn cold.
     pub cooled: usize,
-    /// How many are cut off: calls to them hang.
+    /// Number of targets that are cut off: calls to them hang.
     pub cut_off: usize,
 }
 
 impl Load {
-    /// Few routers before nine engines that have little to do, and nothing goes wrong: what a scenario changes it names.
+    /// Base load without faults: a few routers and nine engines with little to do.
+    ///
+    /// Scenarios state the fields that they change.
     pub const CALM: Self = Self {
         routers: 7,
         targets: 9,
--- a/tests/load/model/setup.rs
+++ b/tests/load/model/setup.rs
@@ -1,4 +1,4 @@
-//! Routers, targets and plans of a load as they are at first.
+//! Initial routers and targets of a load, and the plans of its calls.
 
 use std::time::Duration;
 
@@ -20,11 +20,12 @@
     target::{self, Target},
 };
 
-/// Tokens of the part of a prompt that calls share, and of a call's own.
+/// Number of tokens of the part of a prompt that calls share.
 const SHARED_TOKENS: u64 = 5_000;
+/// Number of tokens of the part of a prompt that is a call's own.
 pub(super) const OWN_TOKENS: u64 = 300;
 
-/// The calls beyond its slots that a target of a plain service takes before it turns them away.
+/// Number of calls beyond its slots that a target of a plain service queues before it rejects more.
 const PLAIN_QUEUE: usize = 6;
 
 pub(super) fn service() -> ServiceName {
@@ -66,7 +67,7 @@
     }
 }
 
-/// The routers that one of them knows of, itself first.
+/// Returns the routers that router `me` knows, itself first.
 pub(super) fn known_routers(load: &Load, me: usize) -> Vec<VmHash> {
     let is_known = |n: &usize| match load.fleet {
         Fleet::Whole => true,
--- a/tests/load/model/target.rs
+++ b/tests/load/model/target.rs
@@ -1,4 +1,4 @@
-//! A target with slots, a queue and a cache of prompts.
+//! A simulated target with slots, a queue and a prompt cache.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,14 +9,14 @@
     units::Instant,
 };
 
-/// Tokens that a target keeps.
+/// Maximum number of prompt tokens that a target caches.
 pub const MEMORY_TOKENS: u64 = 400_000;
 
-/// A call at a target.
+/// A call that is sent to a target.
 #[derive(Debug, Clone, Copy)]
 pub struct Run {
     pub call: u64,
-    /// From when it has a slot.
+    /// Time from the call's start in a slot to its first event.
     pub to_first_event: Duration,
 }
 
@@ -24,16 +24,18 @@
     slots: u32,
     running: Vec<u64>,
     queue: VecDeque<Run>,
-    /// Calls that may wait.
+    /// Maximum number of calls in the queue.
     most_waiting: usize,
     cache: LruCache<PartId, u64>,
+    /// Number of tokens in the cache.
     held: u64,
-    /// Until when it is cold, and when calls arrived while it was.
+    /// When the target stops being cold.
     pub cold_until: Instant,
+    /// When calls arrived while the target was cold.
     pub cold_arrivals: Vec<Instant>,
-    /// Calls to it hang.
+    /// Whether the target is cut off: calls to it hang.
     pub is_cut_off: bool,
-    /// It is gone, and breaks off what is sent to it.
+    /// Whether the target is lost: calls sent to it break off.
     pub is_lost: bool,
 }
 
@@ -57,7 +59,7 @@
         self.cache.contains(&part)
     }
 
-    /// Takes a prompt in; returns the tokens of it that were not there.
+    /// Adds a prompt to the cache and returns the number of its tokens that were not cached.
     pub fn read(&mut self, prompt: &[PromptPart]) -> u64 {
         let mut missing = 0;
         for part in prompt {
@@ -74,14 +76,14 @@
         missing
     }
 
-    /// A call arrives now, whether it is taken or not.
+    /// Records the arrival of a call if the target is cold, whether the call is accepted or not.
     pub fn note_arrival(&mut self, now: Instant) {
         if now < self.cold_until {
             self.cold_arrivals.push(now);
         }
     }
 
-    /// The most calls that arrived within a second while it was cold.
+    /// Returns the maximum number of calls that arrived within a second while the target was cold.
     pub fn most_while_cold(&self) -> usize {
         let second = Duration::from_secs(1);
         let within = |from: &Instant| {
@@ -96,12 +98,12 @@
             .unwrap_or_default()
     }
 
-    /// Calls that it has.
+    /// Returns the number of calls in slots and in the queue.
     pub fn calls(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// How a call ends that it does not take, if it does not.
+    /// Returns how a new call ends if the target does not accept it now, and `None` if it does.
     pub fn turns_away(&self) -> Option<Outcome> {
         let is_full = self.running.len() == self.slots as usize;
         match () {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A call comes; returns it if it may begin.
+    /// Takes a call; returns it if it starts at once in a free slot, and queues it otherwise.
     pub fn on_arrival(&mut self, run: Run) -> Option<Run> {
         if self.running.len() < self.slots as usize {
             self.running.push(run.call);
@@ -121,7 +123,7 @@
         None
     }
 
-    /// A call ends; returns the next one, which takes its slot.
+    /// Ends a call; returns the queued call that takes its slot, if there is one.
     pub fn on_end(&mut self, call: u64) -> Option<Run> {
         self.running.retain(|c| *c != call);
         let next = self.queue.pop_front()?;
@@ -129,7 +131,7 @@
         Some(next)
     }
 
-    /// It is gone; returns the calls that it had.
+    /// Marks the target as lost and returns the calls that it had.
     pub fn on_loss(&mut self) -> Vec<u64> {
         self.is_lost = true;
         let waiting = self.queue.drain(..).map(|run| run.call);
--- a/tests/load/model/telling.rs
+++ b/tests/load/model/telling.rs
@@ -1,4 +1,4 @@
-//! What routers hear of one another.
+//! Updates that routers send one another.
 
 use std::time::Duration;
 
@@ -12,8 +12,9 @@
 
 use super::{Event, Model, Sent, hall, rules};
 
-/// How often routers tell one another, and what each router adds to that, as in `edge::gossip`.
+/// Minimum interval between updates that routers send one another, as in `membership::timing`.
 const TELL: Duration = Duration::from_millis(100);
+/// Interval between updates per router of the fleet, used with hubs where it comes to more than the minimum.
 const TELL_PER_ROUTER: Duration = Duration::from_micros(1_200);
 
 impl Model {
@@ -26,15 +27,15 @@
         }
     }
 
-    /// Each router learns of what all had in progress, as through a hub, and of prompts that were sent
-    /// somewhere first.
+    /// Gives each router the counts of all calls in progress, as through a hub, the crash and outage notices,
+    /// and the announcements of prompts that were first sent to a target.
     pub(super) fn on_tell(&mut self) {
         self.after(self.tell_every(), Event::RoutersTell);
         let now = self.now;
         let targets = &self.targets;
         let answers = |sent: &&Sent| !targets[sent.target].is_cut_off;
         for sent in self.sent.values().filter(answers) {
-            // Events come all the while.
+            // Answers in progress produce events all the time.
             let health = &mut self.routers[sent.router].health;
             health.on_activity(now, &sent.ticket.target.id);
         }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// What hubs tell of accounts now, if that is due: what they learned one time before.
+    /// Returns the account rates that hubs report now, if a report is due: those from one report before.
     fn rates_through_hubs(&mut self, hub: &mut Dispatcher) -> Option<HallRates> {
         let now = self.now;
         if now.since(self.rates_told) < RATE_REPORT_INTERVAL {
@@ -93,8 +94,10 @@
         self.rates_at_hubs.replace(learned)
     }
 
-    /// What routers are told now of what hubs learn now: where hubs tell at their own pace, what they
-    /// learned one round before, which is that much older.
+    /// Returns the sums that routers receive now, given those that hubs receive now.
+    ///
+    /// With hubs, which send at an interval of their own, these are the sums of the round before, whose age
+    /// is one interval.
     fn through_hubs(&mut self, learned: HallSums) -> HallSums {
         if !self.load.hubs {
             return learned;
--- a/tests/load/model/withdrawals.rs
+++ b/tests/load/model/withdrawals.rs
@@ -1,4 +1,4 @@
-//! Targets that say in their answers that they leave, or that they want no calls for a while.
+//! Targets that announce in their responses that they leave, or that they accept no calls for a while.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,44 +6,53 @@
 
 use super::{Model, record};
 
-/// What is played of it.
+/// Schedule of the targets that accept no calls.
 #[derive(Debug, Clone, Copy)]
 pub struct Withdrawing {
+    /// When targets start to accept no calls, counted from the start of the run.
     pub from: Duration,
+    /// When they accept calls again, counted from the start of the run.
     pub until: Duration,
-    /// Targets, from the first, that turn all calls away and want none for so many seconds.
+    /// Number of targets, from the first, that reject all calls and ask for a backoff.
     pub shedding: usize,
+    /// Backoff that these targets ask for, in seconds.
     pub backoff_s: u8,
-    /// Targets after these that leave from then on, and say so in their answers alone.
+    /// Number of targets after these that leave in that time, and announce it in their responses alone.
     pub leaving: usize,
 }
 
-/// How long a router has to hear of a time that is asked for, and of a target that leaves: the users' rules.
+/// Time that the users' rules give a router to apply a backoff that a target asked for.
 const BACKOFF_HEARD: Duration = Duration::from_millis(500);
+/// Time that the users' rules give a router to stop sending calls to a target that leaves.
 const LEAVING_HEARD: Duration = Duration::from_secs(2);
 
-/// What targets said to routers, and what these sent them after it.
+/// Withdrawals that targets announced to routers, and the calls that these routers sent them afterwards.
 #[derive(Debug, Default)]
 pub struct Withdrawn {
-    /// When it was said first, until when it holds, and what was sent meanwhile, by router and target.
+    /// Latest withdrawal by router and target.
     said: HashMap<(usize, usize), Said>,
-    /// The most that one router sent to one target within one time that it had asked for.
+    /// Maximum number of calls that one router sent to one target within one backoff, after `BACKOFF_HEARD`.
     pub most_within_backoff: usize,
-    /// What was sent to targets by routers that had passed on that they leave.
+    /// Number of calls sent to leaving targets by routers that had learned of it more than `LEAVING_HEARD`
+    /// ago.
     pub sent_to_leaving: usize,
-    /// What targets turned away that wanted no calls.
+    /// Number of calls that shedding targets rejected.
     pub shed: usize,
 }
 
+/// A withdrawal that a router received from a target.
 #[derive(Debug)]
 struct Said {
+    /// When the router received it first.
     at: Instant,
+    /// When the backoff ends; `None` for a target that leaves.
     until: Option<Instant>,
+    /// Number of calls that the router sent to the target within the backoff.
     sent: usize,
 }
 
 impl Model {
-    /// What is played of it now.
+    /// Returns the schedule if targets withdraw now.
     fn withdrawing(&self) -> Option<Withdrawing> {
         let played = self.load.withdrawing?;
         (played.from..played.until)
@@ -51,18 +60,18 @@
             .then_some(played)
     }
 
-    /// Whether a target turns all calls away.
+    /// Returns whether a target rejects all calls now.
     pub(super) fn sheds(&self, target: usize) -> bool {
         self.withdrawing().is_some_and(|w| target < w.shedding)
     }
 
-    /// Whether a target says that it leaves.
+    /// Returns whether a target announces now that it leaves.
     pub(super) fn leaves(&self, target: usize) -> bool {
         let leaves = |w: Withdrawing| (w.shedding..w.shedding + w.leaving).contains(&target);
         self.withdrawing().is_some_and(leaves)
     }
 
-    /// A call is sent to a target that may have said something to this router.
+    /// Counts a call that a router sends to a target, if the target has withdrawn for this router.
     pub(super) fn note_withdrawn(&mut self, router: usize, target: usize) {
         let now = self.now;
         let seen = &mut self.withdrawn;
@@ -80,7 +89,7 @@
         }
     }
 
-    /// A router gets an answer of a target that wants no calls.
+    /// Handles a response in which a target announces to a router that it accepts no calls.
     pub(super) fn hear_of_withdrawal(&mut self, router: usize, target: usize) {
         let now = self.now;
         let played = self.load.withdrawing.expect("it is played");
@@ -108,7 +117,7 @@
         self.routers[router].on_withdrawal(now, &id, withdrawal);
     }
 
-    /// What came of it.
+    /// Returns the results for targets that accept no calls.
     pub fn withdrawn(&self) -> &Withdrawn {
         &self.withdrawn
     }
--- a/tests/load/overload.rs
+++ b/tests/load/overload.rs
@@ -1,6 +1,7 @@
-//! Loads beyond what the targets can do, in virtual time, on the very decision types that the daemon
-//! runs: routers that hear of one another's calls a tenth of a second late, before targets with slots,
-//! a queue and a cache of prompts, and callers that try once more only.
+//! Loads beyond the targets' capacity, in virtual time, on the decision types that the daemon runs.
+//!
+//! Routers learn of one another's calls a tenth of a second late, targets have slots, a queue and a prompt
+//! cache, and callers retry only once.
 
 use std::time::Duration;
 
@@ -8,8 +9,7 @@
 
 use crate::model::{Load, Model, Outcome};
 
-/// A surge to three times what the targets can do (223 calls a second), from the tenth second to the
-/// sixteenth.
+/// A surge to three times the targets' capacity (223 calls a second), from second 10 to second 16.
 const SURGE: Load = Load {
     targets: 12,
     slots: 16,
@@ -23,9 +23,8 @@
     ..Load::CALM
 };
 
-/// The targets can answer a third of such a surge and five sixths of a smaller one, new calls and those
-/// that come back together. Where calls queue at targets up to three for each slot, 0.00 and 0.24 of
-/// them are in time.
+/// The targets can answer a third of this surge and five sixths of a smaller one, counting new calls and
+/// retries together. Where up to three calls per slot queue at targets, 0.00 and 0.24 of them are in time.
 #[rstest]
 #[case::three_times(1, 4.5, 0.17)]
 #[case::three_times(2, 4.5, 0.17)]
@@ -52,9 +51,9 @@
     assert!(late < 0.4, "{late} late");
 }
 
-/// Where all targets are full, a place that comes free is not taken by a call whose prompt has to be
-/// moved there from another target: without places that are kept for calls whose prompt is there, 200 to
-/// 250 tokens are moved for each call.
+/// Where all targets are full, a slot that becomes free must not go to a call whose prompt has to be moved
+/// there from another target. Without slots reserved for calls whose prompt is cached there, 200 to 250
+/// tokens are moved per call.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -66,8 +65,8 @@
     assert!(moved < 100.0, "{moved} tokens a call were moved");
 }
 
-/// Callers that were refused in a short surge and try once more are served when they do; where they
-/// come back after a tenth of a second, 0.8 of them are refused again.
+/// Callers that were refused in a short surge are served at their one retry. Where they retry after a tenth
+/// of a second, 0.8 of them are refused again.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -83,9 +82,9 @@
     assert!(again < 0.6, "{again} of those refused were refused again");
 }
 
-/// One account of ten sends 30 times its usual, four times as much as all others: they are served as
-/// ever but for what came before it was noticed. Where its calls take any place, a quarter of theirs are
-/// in time.
+/// One account of ten sends 30 times its usual load, four times as much as all others. The others are served
+/// as usual, except for calls before the surge is detected. Where its calls take any free slot, a quarter of
+/// the others' calls are in time.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -102,7 +101,8 @@
     assert!(others > 0.7, "{others} of the others' calls in time");
 }
 
-/// After a step of load the share of refused calls settles, however many routers decide alone.
+/// After a step in the load, the fraction of refused calls settles, however many routers decide
+/// independently.
 #[rstest]
 #[case::small(7, 12, 150.0)]
 #[case::grown(87, 110, 1_375.0)]
@@ -119,7 +119,7 @@
         ..SURGE
     });
     model.run(14);
-    // Six seconds after the step callers that were refused come back as fast as others are refused.
+    // Six seconds after the step, refused callers retry at the rate at which others are refused.
     let shares = model.refused_by_second(10..14);
     let mean = shares.iter().sum::<f64>() / shares.len() as f64;
     let worst = shares.iter().map(|s| (s - mean).abs()).fold(0.0, f64::max);
--- a/tests/load/stale_counts.rs
+++ b/tests/load/stale_counts.rs
@@ -1,7 +1,7 @@
-//! Loads before routers that hear of one another's calls late: a tenth of a second where there are few,
-//! nearly half a second through each hub where there are hundreds.
+//! Guards against bad placement by routers whose counts of one another's calls are old: a tenth of a second
+//! in small fleets, nearly half a second per hub in fleets of hundreds.
 //!
-//! Figures of code that takes counts as they are stand beside each test.
+//! The comment of each test gives the figures of code that uses the counts as received.
 
 use std::{ops::Range, time::Duration};
 
@@ -9,10 +9,10 @@
 
 use crate::model::{Change, Load, Model, Outcome, Service};
 
-/// Calls that five targets of a plain service with six slots each can do in a second.
+/// Calls per second that five targets of a plain service with six slots each can serve.
 const PLAIN_CAPACITY: f64 = 1_000.0;
 
-/// Calls that forty engines with sixteen slots each can do in a second.
+/// Calls per second that forty engines with sixteen slots each can serve.
 const ENGINE_CAPACITY: f64 = 740.0;
 
 const PLAIN: Load = Load {
@@ -53,7 +53,7 @@
     cut_off: 0,
 };
 
-/// Seconds that are judged: after the change, where there is one.
+/// Seconds of the run that the tests check: after the change, where there is one.
 const JUDGED: Range<usize> = 5..12;
 
 fn play(load: Load) -> Model {
@@ -62,8 +62,7 @@
     model
 }
 
-/// With a third of the capacity asked for, 0.00 to 0.01 of what arrives was turned away, with two thirds
-/// 0.57 to 0.72.
+/// At a third of the capacity, targets rejected 0.00 to 0.01 of the arrivals; at two thirds, 0.57 to 0.72.
 #[rstest]
 fn plain_targets_with_room_turn_nothing_away(
     #[values(7, 87, 295, 380)] routers: usize,
@@ -80,8 +79,8 @@
     assert!(in_time > 0.99, "{in_time} in time");
 }
 
-/// One of five targets is lost, and 0.84 of the capacity that is left is asked for: 0.62 to 0.69 was
-/// turned away and 0.44 to 0.53 in time.
+/// One of five targets is lost, and the load is 0.84 of the remaining capacity: targets rejected 0.62 to 0.69
+/// of the arrivals, and 0.44 to 0.53 of the calls were in time.
 #[rstest]
 fn plain_targets_do_the_work_of_one_that_was_lost(#[values(7, 87, 295, 380)] routers: usize) {
     let model = play(Load {
@@ -96,8 +95,8 @@
     assert!(in_time > 0.95, "{in_time} in time");
 }
 
-/// With nine tenths of the capacity asked for, 0.38 to 0.43 of the calls were in time; with one and a half
-/// times it, 0.20 to 0.21 of the 0.67 that the targets can do.
+/// At nine tenths of the capacity, 0.38 to 0.43 of the calls were in time; at one and a half times the
+/// capacity, 0.20 to 0.21, where the targets can serve 0.67.
 #[rstest]
 #[case::small(7, 0.9, 0.97)]
 #[case::grown(87, 0.9, 0.97)]
@@ -121,7 +120,7 @@
     assert!(in_time > least, "{in_time} in time");
 }
 
-/// A quarter as many engines as there are come without a prompt, or a quarter of them is lost.
+/// Engines with empty caches are added, a quarter as many as there are, or a quarter of the engines is lost.
 #[rstest]
 fn engines_that_come_or_go_flood_none(
     #[values(7, 87, 295, 380)] routers: usize,
@@ -148,8 +147,8 @@
     assert!(in_time > 0.97, "{in_time} in time");
 }
 
-/// A quarter of the engines is lost and still listed for three seconds: where each router finds that out by
-/// itself, 0.29 to 0.32 of what is sent in the last two of these seconds meets one of them.
+/// A quarter of the engines is lost and still listed for three seconds. Where each router detects that on its
+/// own, 0.29 to 0.32 of the calls sent in the last two of these seconds reach a lost engine.
 #[rstest]
 fn targets_that_are_down_are_left_alone_by_all(#[values(87, 295, 380)] routers: usize) {
     let change = Change {
@@ -168,8 +167,8 @@
     assert!(lost < 0.06, "{lost} sent to targets that were down");
 }
 
-/// Four prompts are all that is asked: 0.11, 0.21, 0.66 and 0.76 of the arrivals met targets with twice the
-/// mean and three calls.
+/// All calls share four prompts: 0.11, 0.21, 0.66 and 0.76 of the arrivals were at targets with more calls
+/// than twice the mean plus three, for the four numbers of routers.
 #[rstest]
 #[case::small(7, 0.05)]
 #[case::grown(87, 0.05)]
@@ -185,8 +184,8 @@
     assert!(above < most, "{above} above twice the mean");
 }
 
-/// Engines with eight tenths, one and a half times and three times their capacity asked for: 0.89, 0.11 and
-/// 0.02 of the calls were in time before 295 routers, 1.00, 0.30 and 0.10 before 7.
+/// At eight tenths, one and a half times and three times the engines' capacity, 0.89, 0.11 and 0.02 of the
+/// calls were in time with 295 routers, and 1.00, 0.30 and 0.10 with 7.
 #[rstest]
 #[case::small(7, 0.8, 0.99)]
 #[case::grown(87, 0.8, 0.99)]
@@ -212,8 +211,9 @@
     assert!(in_time > least, "{in_time} in time");
 }
 
-/// One account of ten sends 30 times its usual before 295 routers, each of which sees four or five of its
-/// calls a second: less than half of the others' calls would find room.
+/// One account of ten sends 30 times its usual load through 295 routers, each of which gets four or five of
+/// its calls a second. Without a limit on it, less than half of the other accounts' calls would find a free
+/// slot.
 #[test]
 fn an_account_that_surges_leaves_room_to_others_before_many_routers() {
     let mut model = Model::new(Load {
--- a/tests/load/withdrawals.rs
+++ b/tests/load/withdrawals.rs
@@ -1,8 +1,8 @@
-//! Targets that turn all calls away and ask for time, and targets that leave and say so in their answers alone, before few routers and
-//! hundreds.
+//! Targets that reject all calls and ask for a backoff, and targets that leave and announce it in their
+//! responses alone, with a few routers and with hundreds.
 //!
-//! What is allowed: two calls of one router to one target from half a second after it was asked for time until that is over; none to one
-//! of which it passed on two seconds ago that it leaves.
+//! A router may send two calls to a target from half a second after the target asked for a backoff until the
+//! backoff is over, and none to a target of which it passed on two seconds ago that it leaves.
 
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
         "{}",
         seen.most_within_backoff
     );
-    // Two thirds of the targets bear what comes, and afterwards all do.
+    // Two thirds of the targets can serve the load, and afterwards all targets do.
     let served = model.share(5..13, Outcome::InTime) + model.share(5..13, Outcome::Late);
     assert!(served > 0.97, "{served} meanwhile");
     let served = model.share(14..18, Outcome::InTime);
@@ -71,11 +71,14 @@
     })
 }
 
-/// By then all routers have been told by most targets. Most callers that hear the time from one of them are served on their return.
+/// Seconds of the run by which most targets have asked all routers for a backoff.
 const HEARD: std::ops::Range<usize> = 5..7;
+/// Maximum fraction of refused callers that are refused again: most callers that get the backoff from one of
+/// the routers are served at their retry.
 const AGAIN: f64 = 0.5;
 
-/// Where all turn calls away for a while, callers return when the first target wants calls again, and are served then.
+/// Where all targets reject calls for a while, callers retry when the first target accepts calls again, and
+/// are served then.
 #[rstest]
 #[case::engines(ENGINES, 9)]
 #[case::plain(PLAIN, 3)]
@@ -104,7 +107,7 @@
         "{}",
         seen.most_within_backoff
     );
-    // Each router is told by each target once, and by some once more where calls are under way.
+    // Each target asks each router for a backoff once, and some ask once more where calls are in progress.
     let most = load.routers * targets * 2;
     assert!(
         seen.shed <= most,
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who lives, over a network that loses, cuts and delays, in virtual time.
+//! Failure detection over a network that loses, cuts and delays datagrams, in virtual time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,10 +21,10 @@
     units::{Instant, StoreRevision},
 };
 
-/// Steps in which datagrams travel and heartbeats fall due.
+/// Step of virtual time, after which datagrams arrive and heartbeats may be due.
 const STEP: Duration = Duration::from_millis(50);
 
-/// IP and UDP headers.
+/// Size of the IP and UDP headers in bytes.
 const HEADERS: usize = 28;
 
 struct Router {
@@ -67,7 +67,7 @@
 }
 
 impl Net {
-    /// A fleet whose routers know three of them to begin with, and have found one another.
+    /// Returns a fleet whose routers started with three seed addresses and have all found one another.
     fn new(n: usize, loss: f64) -> Self {
         let mut net = Self::starting(n, loss);
         let all = Duration::from_secs(60);
@@ -79,7 +79,7 @@
         net
     }
 
-    /// A fleet whose routers start within 0.3 s and know three of them, and nothing else.
+    /// Returns a fleet whose routers start within 0.3 s and know only three seed addresses.
     fn starting(n: usize, loss: f64) -> Self {
         let mut net = Self {
             now: Instant::default(),
@@ -119,7 +119,7 @@
         self.routers.insert(i, router);
     }
 
-    /// Pairs of routers of which one does not take the other to live.
+    /// Returns the number of ordered pairs of routers of which the first does not consider the second live.
     fn unknown(&self) -> usize {
         let n = self.routers.len();
         let unknown = |r: &Router| n - r.peers.live_count(self.now).min(n);
@@ -166,7 +166,7 @@
             .for_each(|to| self.send(i, to.address, &told));
     }
 
-    /// Tells the hubs, and as a hub the data hall's routers and the other hubs.
+    /// Sends an update to the hubs, or as a hub to the data hall's routers and the other hubs.
     fn tell_close_ones(&mut self, i: usize) {
         let now = self.now;
         let mut told = self.datagram(i);
@@ -238,7 +238,7 @@
             }
             router.peers.on_records(now, &told);
             let answer = router.peers.answer(now, &told);
-            // A router that joins is answered at once.
+            // A router that joins gets a response at once.
             if heard == DatagramEffect::Joined || answer.is_some() {
                 let mut back = self.datagram(to);
                 back.exchange = answer;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// What one router does of itself.
+    /// Runs one router's periodic work.
     fn step(&mut self, i: usize) {
         let now = self.now;
         let router = self.routers.get_mut(&i).unwrap();
@@ -258,7 +258,7 @@
         let alive = router.peers.live_count(now);
         let every = match is_large && router.peers.is_aggregator(now) {
             true => send_interval(alive),
-            // Those that have nothing to tell do so only as a heartbeat.
+            // Routers without changes to send send only heartbeats.
             false => HEARTBEAT_INTERVAL.max(send_interval(alive)),
         };
         let compares = now.since(router.compared) >= router.peers.compare_interval(now);
@@ -274,7 +274,7 @@
         }
     }
 
-    /// How many of the others believe that a router lives.
+    /// Returns the number of other routers that consider a router live.
     fn believers(&self, subject: usize) -> usize {
         let others = self.routers.iter().filter(|(i, _)| **i != subject);
         let believes = |r: &Router| {
@@ -287,17 +287,18 @@
     }
 }
 
-/// How long a router that is gone may count, whatever the size of the fleet.
+/// Maximum time for which a router that is down may count as live, whatever the size of the fleet.
 const GONE_AFTER: Duration = Duration::from_secs(5);
 
-/// How long a fleet whose routers start together may take until each knows all others.
+/// Maximum time until each router of a fleet that starts together knows all others.
 const FOUND_WITHIN: Duration = Duration::from_secs(5);
 
-/// What a router may send to know who lives, in bytes a second.
+/// Maximum rate of heartbeat traffic that one router sends, in bytes per second.
 const HEARTBEATS_LIMIT: usize = 3_000;
 
-/// Routers of a fleet of 985 that started together knew 185 others on average after 5 s and 735 after 24 s, and 416 of them took themselves
-/// for hubs: all told all only every 48 ms times the number of routers, and named four addresses each time. Counted in this network.
+/// Guards against slow discovery: in this network, routers of a fleet of 985 that started together knew 185
+/// others on average after 5 s and 735 after 24 s, and 416 considered themselves hubs. Each sent to all
+/// others only every 48 ms times the number of routers, and named four addresses each time.
 #[rstest]
 #[case::today(7)]
 #[case::grown(85)]
@@ -312,7 +313,8 @@
     assert!(hubs.count() <= net.halls);
 }
 
-/// A dead router was used for 14 s with 380 routers and 33 s with 985: its silence was held against paces that grew with the fleet.
+/// Guards against failure timeouts that grow with the fleet: a dead router was used for 14 s with 380 routers
+/// and for 33 s with 985, since timeouts followed send intervals that grew with the fleet.
 #[rstest]
 #[case::today(7)]
 #[case::grown(85)]
@@ -334,7 +336,7 @@
 #[case::the_whole_fleet(985)]
 fn losing_one_in_a_hundred_kills_nobody(#[case] n: usize) {
     let mut net = Net::new(n, 0.01);
-    // As many heartbeats in all as those of 85 routers in half a minute.
+    // A large fleet runs for less time, as it sends as many heartbeats as 85 routers in half a minute.
     let seconds = if n > 500 { 6 } else { 30 };
     for _ in 0..seconds {
         net.run(Duration::from_secs(1));
@@ -342,7 +344,8 @@
     }
 }
 
-/// More than half of a fleet is killed at once, hubs among them: the others find out, and count nobody else as gone.
+/// More than half of a fleet is killed at once, hubs among them: the others detect it, and consider no live
+/// router down.
 #[rstest]
 #[case::grown(85)]
 #[case::the_whole_fleet(985)]
@@ -364,8 +367,9 @@
     );
 }
 
-/// Two data halls can't reach each other and a third reaches both: nobody of that takes anybody for gone. Found by reading: what one hall's hub
-/// reported of the other's hubs counted also where these were heard.
+/// Two data halls can't reach each other and a third reaches both: the third must consider no router down.
+/// The failure was that reports by one hall's hub about the other hall's hubs counted even where these were
+/// reachable.
 #[test]
 fn a_hall_that_reaches_two_others_does_not_take_their_reports_of_each_other() {
     let n = 60;
@@ -385,7 +389,7 @@
     }
 }
 
-/// How often each number occurs.
+/// Returns how often each number occurs.
 fn counted(numbers: &[usize]) -> BTreeMap<usize, usize> {
     let mut counted = BTreeMap::new();
     for n in numbers {
@@ -394,7 +398,7 @@
     counted
 }
 
-/// What a router sends to know who lives does not grow with the fleet.
+/// Each router's heartbeat traffic does not grow with the fleet.
 #[test]
 fn heartbeats_take_the_same_however_large_the_fleet_is() {
     let a_second = |n: usize| {
@@ -457,7 +461,7 @@
     assert_eq!(net.believers(9), 0);
 }
 
-/// A keeper that is not reached is passed over until it is heard of again.
+/// An owner that is unreachable is passed over until a datagram from it arrives again.
 #[test]
 fn a_router_that_does_not_answer_is_out_of_use_until_it_speaks() {
     let mut net = Net::new(380, 0.0);
@@ -474,8 +478,8 @@
     assert_eq!(seen.owner_of(net.now, &thing), Some(keeper));
 }
 
-/// Counts are told every 354 ms in a fleet of 295; had hints of prompts waited for them in each hub as well,
-/// a prompt would be known after half a second, and read again by others until then.
+/// Counts are sent every 354 ms in a fleet of 295. If prompt hints waited for them in each hub as well, a
+/// prompt would be known only after half a second, and other targets would read it again until then.
 #[rstest]
 #[case::small(7, 100, 1)]
 #[case::grown(85, 102, 1)]
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,5 +1,6 @@
-//! Recorded traces against stated outcomes, on the very decision types that the daemon runs:
-//! routers that hear of one another ten times a second, before engines that cache prompts.
+//! Replays recorded traces on the decision types that the daemon runs, and checks the stated results.
+//!
+//! Routers update one another ten times a second, and engines cache prompts.
 
 #[path = "replay/trace.rs"]
 mod trace;
@@ -33,14 +34,15 @@
 
 const ROUTERS: usize = 7;
 
-/// How often routers tell one another, as in `edge::gossip`.
+/// Interval between updates that routers send one another, in milliseconds, as in `membership::timing`.
 const TELL_MS: u64 = 100;
 
-/// The time in which caches fill and nothing is measured.
+/// Time at the start of a trace in which caches fill and nothing is measured, in milliseconds.
 const WARM_UP_MS: u64 = 20_000;
 
-/// How many times the mean an engine may carry, and calls beyond (the users' rule).
+/// Maximum number of calls of an engine as a factor on the mean, apart from `CAP_SLACK` (the users' rule).
 const CAP_FACTOR: f64 = 2.0;
+/// Number of calls that an engine may have beyond this (the users' rule).
 const CAP_SLACK: f64 = 3.0;
 
 #[derive(Default, Debug, PartialEq)]
@@ -51,7 +53,7 @@
     found: u64,
     samples: u64,
     above: u64,
-    /// The most calls of an engine beside the mean, where that is at least four.
+    /// Maximum ratio of an engine's calls to the mean, over samples with a mean of at least four.
     worst: f64,
 }
 
@@ -64,9 +66,9 @@
 struct World {
     routers: Vec<Dispatcher>,
     engines: Vec<Engine>,
-    /// What chats have said so far, as parts.
+    /// Prompt of each chat so far, as parts.
     chats: HashMap<u64, Vec<PromptPart>>,
-    /// How long the last answer of each chat was.
+    /// Number of tokens of the last answer of each chat.
     answers: HashMap<u64, u64>,
     ends: BinaryHeap<Reverse<(u64, u64)>>,
     running: HashMap<u64, (usize, usize, Ticket)>,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// A chat's prompt as it grew: what its account's chats begin with, and a part for each turn.
+    /// Returns the prompt of a chat's next turn: the part shared by the account's chats, and a part per turn.
     fn prompt(&mut self, r: &Request) -> Vec<PromptPart> {
         let id = |a: u64, b: u64| PartId(a.wrapping_mul(1_000_003) ^ b.wrapping_mul(0x9e37_79b9));
         let part = |id, tokens| PromptPart {
@@ -143,13 +145,13 @@
         };
         let chat = self.chats.entry(r.conversation).or_default();
         if let (Some(last), Some(answer)) = (chat.last_mut(), self.answers.get(&r.conversation)) {
-            // Where the question went, its answer is as well.
+            // The engine that got the question caches its answer as well.
             last.tokens += Tokens(*answer);
         }
         self.answers.insert(r.conversation, r.answer);
         let said: u64 = chat.iter().map(|p| p.tokens.0).sum();
         if r.reusable <= r.shared || chat.is_empty() {
-            // It begins, or begins anew.
+            // The chat starts, or starts over.
             *chat = vec![part(id(r.account, 0), r.shared)];
             let new = part(id(r.conversation + 1, r.t_ms), r.prompt - r.shared);
             chat.push(new);
@@ -211,7 +213,7 @@
         self.running.insert(n, (router, e, ticket));
     }
 
-    /// Ends what is over, tells what changed, and looks at the engines, up to a moment.
+    /// Runs the replay from one time to another: ends calls, sends updates and samples the engines.
     fn go_on(&mut self, from_ms: u64, to_ms: u64) {
         for ms in from_ms..to_ms {
             while self.ends.peek().is_some_and(|Reverse((end, _))| *end <= ms) {
@@ -230,7 +232,7 @@
 
     fn tell(&mut self, now: Instant) {
         for (router, _, ticket) in self.running.values() {
-            // Its tokens come all the while.
+            // Calls in progress produce tokens all the time.
             self.routers[*router]
                 .health
                 .on_activity(now, &ticket.target.id);
@@ -272,7 +274,8 @@
         self.figures.worst = self.figures.worst.max(most / mean);
     }
 
-    /// An engine goes at once, with its cache, or comes back empty; what it ran ends by itself.
+    /// Removes an engine with its cache, or adds it back with an empty one; calls in progress there end
+    /// normally.
     fn on_engine(&mut self, t_ms: u64, n: usize, joins: bool) {
         self.revision += 1;
         let capacity = self.engines[n].capacity;
@@ -329,8 +332,8 @@
     world.figures
 }
 
-/// The part of what could be reused that is, the most that one engine carries beside the mean, and
-/// that none is above the users' bound.
+/// Checks the fraction of reusable tokens that are reused, the maximum ratio of an engine's calls to the
+/// mean, and that no engine exceeds the users' bound.
 #[rstest]
 #[case::calm(CALM, 0.985, 1.6)]
 #[case::an_engine_leaves_every_quarter_minute(CHURN, 0.89, 2.2)]
--- a/tests/replay/trace.rs
+++ b/tests/replay/trace.rs
@@ -1,4 +1,4 @@
-//! The lines of a recorded trace, and the engines that it is replayed before.
+//! Lines of a recorded trace, and the simulated engines of a replay.
 
 use lru::LruCache;
 use scaleford::prompt_cache::{PartId, PromptPart};
@@ -36,10 +36,12 @@
     pub answer: u64,
 }
 
-/// An engine's cache, by parts, and what runs there.
+/// A simulated engine: its prompt cache by parts, and the number of calls that it runs.
 pub struct Engine {
     cache: LruCache<PartId, u64>,
+    /// Number of tokens in the cache.
     held: u64,
+    /// Maximum number of tokens in the cache.
     pub capacity: u64,
     pub running: u32,
 }
@@ -54,13 +56,13 @@
         }
     }
 
-    /// It ends, with all that it held.
+    /// Clears the cache.
     pub fn forget(&mut self) {
         self.cache.clear();
         self.held = 0;
     }
 
-    /// Takes a prompt in; returns the tokens of it that were cached.
+    /// Adds a prompt to the cache and returns the number of tokens of its leading parts that were cached.
     pub fn read(&mut self, prompt: &[PromptPart]) -> u64 {
         let known = prompt
             .iter()
