--- a/tests/load/cold_targets.rs
+++ b/tests/load/cold_targets.rs
@@ -15,14 +15,14 @@
 };
 /// Maximum number of calls that one cold engine may get in any second: 1.5 times the tolerated rate plus
 /// five.
-const ALLOWED: usize = 18;
+const MAX_CALLS_PER_SECOND: usize = 18;
 
 /// Maximum number of calls that all routers together send to a cold engine in any second, where they agree on
 /// which routers are live.
-const BORNE: usize = 8;
+const MAX_CALLS_IN_AGREEMENT: usize = 8;
 
 /// Usual number of calls per second and engine.
-const USUAL: f64 = 4.8;
+const USUAL_CALLS_PER_S: f64 = 4.8;
 
 /// Returns a load on a fleet of the users' sheets, or of the design size (380 routers) with fewer engines.
 fn fleet(routers: usize, targets: usize, change: Change) -> Load {
@@ -30,7 +30,7 @@
         routers,
         targets,
         prompts: targets * 4,
-        calls_per_s: USUAL * targets as f64,
+        calls_per_s: USUAL_CALLS_PER_S * targets as f64,
         goal: Duration::from_millis(600),
         deadline: Duration::from_secs(10),
         hubs: routers > 30,
@@ -40,7 +40,7 @@
     }
 }
 
-const NONE: Change = Change {
+const NO_CHANGE: Change = Change {
     at_s: 4,
     added: 0,
     lost: 0,
@@ -66,13 +66,13 @@
             Change {
                 added,
                 cooled,
-                ..NONE
+                ..NO_CHANGE
             },
         )
     });
     model.run(9);
     let most = model.most_while_cold();
-    assert!(most <= BORNE, "{most} within a second");
+    assert!(most <= MAX_CALLS_IN_AGREEMENT, "{most} within a second");
     let in_time = model.share(4..9, Outcome::InTime);
     assert!(in_time > 0.97, "{in_time} in time");
 }
@@ -81,10 +81,10 @@
 /// at once. Where routers don't divide the tolerated rate among themselves, 31 calls reached one engine
 /// within a second at twice the load.
 #[rstest]
-#[case::small(7, 9, USUAL, 0.9)]
-#[case::shifted(73, 90, USUAL, 0.85)]
-#[case::large(295, 240, USUAL, 0.8)]
-#[case::of_letter_1(380, 300, USUAL, 0.8)]
+#[case::small(7, 9, USUAL_CALLS_PER_S, 0.9)]
+#[case::shifted(73, 90, USUAL_CALLS_PER_S, 0.85)]
+#[case::large(295, 240, USUAL_CALLS_PER_S, 0.8)]
+#[case::design_size(380, 300, USUAL_CALLS_PER_S, 0.8)]
 #[case::twice_as_many_calls(73, 90, 16.0, 0.4)]
 fn where_all_engines_are_cold_they_get_what_they_bear(
     #[case] routers: usize,
@@ -99,13 +99,13 @@
             targets,
             Change {
                 cooled: targets,
-                ..NONE
+                ..NO_CHANGE
             },
         )
     });
     model.run(9);
     let most = model.most_while_cold();
-    assert!(most <= ALLOWED, "{most} within a second");
+    assert!(most <= MAX_CALLS_PER_SECOND, "{most} within a second");
     let in_time = model.share(4..7, Outcome::InTime);
     assert!(in_time > least, "{in_time} in time");
 }
@@ -114,7 +114,10 @@
 /// warm; if all engines were cold, they would get all calls.
 #[test]
 fn routers_that_know_of_no_other_leave_cold_engines_alone_where_others_are_warm() {
-    let change = Change { cooled: 9, ..NONE };
+    let change = Change {
+        cooled: 9,
+        ..NO_CHANGE
+    };
     let mut model = Model::new(Load {
         fleet: Fleet::Strangers,
         ..fleet(73, 90, change)
--- a/tests/load/crashing.rs
+++ b/tests/load/crashing.rs
@@ -8,12 +8,12 @@
 
 use rstest::rstest;
 
-use crate::model::{Crashes, Load, Model, Outcome};
+use crate::model::{CrashSchedule, Load, Model, Outcome};
 
 const ENGINES: Load = Load {
-    crashes: Some(Crashes {
+    crashes: Some(CrashSchedule {
         from: Duration::from_secs(4),
-        every: Duration::from_millis(400),
+        interval: Duration::from_millis(400),
         suspended: 2,
         suspended_from: Duration::from_millis(4_200),
         suspended_for: Duration::from_secs(6),
@@ -22,14 +22,14 @@
 };
 
 /// Time in which routers have to learn of the third crash.
-const KNOWN_AFTER: Duration = Duration::from_secs(3);
+const QUARANTINE_DEADLINE: Duration = Duration::from_secs(3);
 /// Maximum number of times that the request may be sent after that time.
-const SENT_AFTER: usize = 3;
+const MAX_SENT_LATE: usize = 3;
 
 /// Seconds of the run in which the request is repeated.
-const MEANWHILE: Range<usize> = 4..20;
+const DURING_CRASHES: Range<usize> = 4..20;
 /// Seconds of the run after the worst of the crashes would be over.
-const AFTERWARDS: Range<usize> = 10..20;
+const AFTER_CRASHES: Range<usize> = 10..20;
 
 /// Without a quarantine, each repetition of the request crashed a target, and the other calls there broke
 /// off.
@@ -54,16 +54,17 @@
     };
     let mut model = Model::new(load);
     model.run(20);
-    let crashed = model.crashed();
-    let late = crashed.sent_later_than(KNOWN_AFTER);
-    assert!(late <= SENT_AFTER, "{late} sent later");
-    let ended = crashed.ended.len();
+    let crashed = model.crash_results();
+    let late = crashed.sent_later_than(QUARANTINE_DEADLINE);
+    assert!(late <= MAX_SENT_LATE, "{late} sent later");
+    let ended = crashed.crashed_at.len();
     assert!((3..=8).contains(&ended), "{ended} ended");
     assert!(crashed.refused >= 25, "{crashed:?}");
     assert_eq!(crashed.others_refused, 0);
-    let served = model.share(MEANWHILE, Outcome::InTime) + model.share(MEANWHILE, Outcome::Late);
+    let served =
+        model.share(DURING_CRASHES, Outcome::InTime) + model.share(DURING_CRASHES, Outcome::Late);
     assert!(served > 0.9, "{served} of the calls beside it");
-    let served = model.share(AFTERWARDS, Outcome::InTime);
+    let served = model.share(AFTER_CRASHES, Outcome::InTime);
     assert!(served > 0.97, "{served} afterwards");
     assert!(model.most_suspects() <= 400, "{}", model.most_suspects());
 }
--- a/tests/load/lock_out.rs
+++ b/tests/load/lock_out.rs
@@ -10,7 +10,7 @@
 
 use crate::model::{Change, Load, Model, Outcome, Service};
 
-const DESK: Load = Load {
+const PLAIN: Load = Load {
     routers: 73,
     targets: 3,
     slots: 6,
@@ -52,7 +52,7 @@
         surge: 4.0,
         surge_from_s: 4,
         surge_to_s: 6,
-        ..DESK
+        ..PLAIN
     };
     let (refused, in_time) = refused(load, 7..10);
     assert!(refused.iter().all(|part| *part < 0.02), "{refused:?}");
@@ -70,7 +70,7 @@
         routers,
         seed,
         change: Some(CUT_OFF),
-        ..DESK
+        ..PLAIN
     };
     let (refused, _) = refused(load, 4..10);
     assert!(refused.iter().all(|part| *part < 0.02), "{refused:?}");
--- a/tests/load/model.rs
+++ b/tests/load/model.rs
@@ -6,7 +6,7 @@
 mod load;
 mod setup;
 mod target;
-mod telling;
+mod updates;
 mod withdrawals;
 
 use std::{
@@ -16,8 +16,8 @@
     time::Duration,
 };
 
-pub use crashes::Crashes;
-use crashes::{CRASHER, Crashed};
+pub use crashes::CrashSchedule;
+use crashes::{CRASHING_REQUEST, CrashResults};
 use figures::Figures;
 pub use figures::Outcome;
 pub use load::{Change, Fleet, Load, Service};
@@ -37,24 +37,24 @@
 };
 use setup::{OWN_TOKENS, hall, known_routers, new_target, record, rules, service};
 use target::{Run, Target};
-pub use withdrawals::Withdrawing;
-use withdrawals::Withdrawn;
+use withdrawals::WithdrawalResults;
+pub use withdrawals::WithdrawalSchedule;
 
 /// Time in which an engine reads a token of a prompt.
-const READ_TOKEN: Duration = Duration::from_micros(10);
+const READ_TIME_PER_TOKEN: Duration = Duration::from_micros(10);
 /// Time in which an engine sets up a prompt.
-const SET_UP: Duration = Duration::from_millis(40);
+const SET_UP_TIME: Duration = Duration::from_millis(40);
 /// Mean time from an engine's first event to the end of its answer.
-const ANSWER: Duration = Duration::from_millis(800);
+const MEAN_ANSWER_TIME: Duration = Duration::from_millis(800);
 
 /// Range of answer times, as factors on the mean.
-const ANSWER_SPREAD: Range<f64> = 0.1..1.9;
+const ANSWER_TIME_FACTORS: Range<f64> = 0.1..1.9;
 
 /// Time for which a call of a plain service occupies its slot.
-const PLAIN_WORK: Duration = Duration::from_millis(30);
+const PLAIN_CALL_TIME: Duration = Duration::from_millis(30);
 
 /// Maximum number of targets that one call is sent to.
-const ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// Number of accounts, which send at the same rate unless one surges.
 const ACCOUNTS: usize = 10;
@@ -66,22 +66,22 @@
     account: usize,
     prompt: u64,
     tries: u32,
-    /// Number of the request: unique for each call, except for calls with the request [`CRASHER`].
+    /// Number of the request: unique for each call, except for calls with the request [`CRASHING_REQUEST`].
     request: u64,
 }
 
 #[derive(Debug)]
 enum Event {
-    Arrives,
-    ComesBack(Call),
-    Begins(u64),
-    Ends(u64),
-    GivenUp(u64),
-    RoutersTell,
+    CallArrives,
+    CallRetries(Call),
+    FirstEvent(u64),
+    CallEnds(u64),
+    DeadlinePassed(u64),
+    SendUpdates,
     TargetsChange,
-    TargetsGo,
-    CrasherComes,
-    TargetReturns,
+    TargetsDelisted,
+    CrashingRequestArrives,
+    TargetRestarts,
 }
 
 #[derive(Debug)]
@@ -105,15 +105,15 @@
     rng: Pcg64,
     figures: Vec<Figures>,
     /// Sums that hubs received, which they pass on with their next updates.
-    at_hubs: Option<HallSums>,
+    sums_at_hubs: Option<HallSums>,
     /// Account rates that hubs know.
     rates_at_hubs: Option<HallRates>,
     /// When hubs last reported account rates.
-    rates_told: Instant,
-    crashed: Crashed,
+    rates_reported_at: Instant,
+    crash_results: CrashResults,
     /// Number of targets that were started after a crash.
-    starts: u64,
-    withdrawn: Withdrawn,
+    restarts: u64,
+    withdrawal_results: WithdrawalResults,
 }
 
 impl Model {
@@ -138,22 +138,22 @@
             count: 0,
             rng: Pcg64::seed_from_u64(load.seed),
             figures: Vec::new(),
-            at_hubs: None,
+            sums_at_hubs: None,
             rates_at_hubs: None,
-            rates_told: Instant::default(),
-            crashed: Crashed::default(),
-            starts: 0,
-            withdrawn: Withdrawn::default(),
+            rates_reported_at: Instant::default(),
+            crash_results: CrashResults::default(),
+            restarts: 0,
+            withdrawal_results: WithdrawalResults::default(),
         };
-        model.after(Duration::ZERO, Event::Arrives);
-        model.after(model.tell_every(), Event::RoutersTell);
+        model.after(Duration::ZERO, Event::CallArrives);
+        model.after(model.send_interval(), Event::SendUpdates);
         if let Some(crashes) = load.crashes {
-            model.after(crashes.from, Event::CrasherComes);
+            model.after(crashes.from, Event::CrashingRequestArrives);
         }
         if let Some(change) = load.change {
             let at = Duration::from_secs(change.at_s);
             model.after(at, Event::TargetsChange);
-            model.after(at + changes::LISTED_ON, Event::TargetsGo);
+            model.after(at + changes::DELISTING_DELAY, Event::TargetsDelisted);
         }
         model
     }
@@ -167,28 +167,28 @@
             }
             self.now = at;
             let event = self.pending.remove(&n).unwrap();
-            self.on(event);
+            self.on_event(event);
         }
     }
 
-    fn after(&mut self, pause: Duration, event: Event) {
+    fn after(&mut self, delay: Duration, event: Event) {
         self.count += 1;
-        self.events.push(Reverse((self.now + pause, self.count)));
+        self.events.push(Reverse((self.now + delay, self.count)));
         self.pending.insert(self.count, event);
     }
 
-    fn on(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
-            Event::Arrives => self.on_arrival(),
-            Event::ComesBack(call) => self.on_call(call),
-            Event::Begins(n) => self.on_first_event(n),
-            Event::Ends(n) => self.on_end(n),
-            Event::GivenUp(n) => self.on_given_up(n),
-            Event::RoutersTell => self.on_tell(),
+            Event::CallArrives => self.on_arrival(),
+            Event::CallRetries(call) => self.on_call(call),
+            Event::FirstEvent(n) => self.on_first_event(n),
+            Event::CallEnds(n) => self.on_end(n),
+            Event::DeadlinePassed(n) => self.on_deadline(n),
+            Event::SendUpdates => self.on_send_updates(),
             Event::TargetsChange => self.on_targets_change(),
-            Event::TargetsGo => self.on_targets_go(),
-            Event::CrasherComes => self.on_crasher(),
-            Event::TargetReturns => self.on_target_returns(),
+            Event::TargetsDelisted => self.on_targets_delisted(),
+            Event::CrashingRequestArrives => self.on_crashing_request(),
+            Event::TargetRestarts => self.on_target_restart(),
         }
     }
 
@@ -208,7 +208,7 @@
             false => 0,
         };
         let pause = Exp::new(rate).unwrap().sample(&mut self.rng);
-        self.after(Duration::from_secs_f64(pause), Event::Arrives);
+        self.after(Duration::from_secs_f64(pause), Event::CallArrives);
         let call = Call {
             at: self.now,
             account,
@@ -223,8 +223,8 @@
     }
 
     fn on_call(&mut self, call: Call) {
-        let awake = self.awake();
-        let router = self.rng.random_range(awake);
+        let active_routers = self.active_routers();
+        let router = self.rng.random_range(active_routers);
         self.count += 1;
         let n = self.count;
         let account = format!("a{}", call.account).parse().unwrap();
@@ -240,23 +240,23 @@
 
     /// Chooses a target that the call was not sent to yet, and sends the call to it or refuses it.
     fn choose(&mut self, n: u64, call: Call, router: usize, plan: CallPlan) {
-        if self.holds_back(router, &call) {
+        if self.is_quarantined(router, &call) {
             return;
         }
         let chosen = match plan.tried.len() {
-            ATTEMPTS.. => Err(PlacementError::NoTarget),
+            MAX_ATTEMPTS.. => Err(PlacementError::NoTarget),
             _ => self.routers[router].choose(self.now, &plan),
         };
         match chosen {
             Ok(ticket) => self.send(n, call, router, ticket, plan),
-            Err(_) if call.request == CRASHER => {}
+            Err(_) if call.request == CRASHING_REQUEST => {}
             Err(_) if call.tries == 1 => {
                 self.figures_of(&call).refused_first += 1;
                 let left = self.load.deadline.saturating_sub(self.now.since(call.at));
                 let draw = self.rng.random();
                 let router = &self.routers[router];
                 let pause = router.retry_after(self.now, &service(), left, draw);
-                self.after(pause, Event::ComesBack(call));
+                self.after(pause, Event::CallRetries(call));
             }
             Err(_) => self.figures_of(&call).refused_again += 1,
         }
@@ -266,20 +266,20 @@
         let index = |record: &TargetRecord| record.id.as_str()[1..].parse::<usize>().unwrap();
         let target = index(&ticket.target);
         let source = ticket.fetch_from.as_deref().map(index);
-        let is_above = self.is_above(target);
-        self.targets[target].note_arrival(self.now);
-        if call.request == CRASHER {
-            self.crashed.sent.push(self.now);
+        let is_overloaded = self.is_overloaded(target);
+        self.targets[target].record_arrival(self.now);
+        if call.request == CRASHING_REQUEST {
+            self.crash_results.sent.push(self.now);
         }
         let figures = self.figures_now();
         figures.sent += 1;
-        figures.sent_above += u64::from(is_above);
-        self.note_withdrawn(router, target);
-        if self.sheds(target) {
-            self.hear_of_withdrawal(router, target);
-            return self.send_on(n, call, router, &ticket, plan, Health::Full);
+        figures.sent_above += u64::from(is_overloaded);
+        self.record_send_after_withdrawal(router, target);
+        if self.rejects_all_calls(target) {
+            self.on_withdrawal_response(router, target);
+            return self.send_elsewhere(n, call, router, &ticket, plan, Health::Full);
         }
-        if let Some(end) = self.targets[target].turns_away() {
+        if let Some(end) = self.targets[target].rejection() {
             let figures = self.figures_now();
             figures.turned_away += u64::from(end == Health::Full);
             figures.sent_to_lost += u64::from(end == Health::Broken);
@@ -287,18 +287,18 @@
                 let outages = &mut self.routers[router].health.outages;
                 outages.on_refused(self.now, (&ticket.target.id).into());
             }
-            return self.send_on(n, call, router, &ticket, plan, end);
+            return self.send_elsewhere(n, call, router, &ticket, plan, end);
         }
-        let has = source.is_some_and(|s| self.targets[s].holds(PartId(call.prompt)));
+        let can_fetch = source.is_some_and(|s| self.targets[s].caches(PartId(call.prompt)));
         let missing = self.targets[target].read(&plan.prompt);
-        let (read, moved) = match has {
+        let (read, moved) = match can_fetch {
             true => (missing.min(OWN_TOKENS), missing.saturating_sub(OWN_TOKENS)),
             false => (missing, 0),
         };
         self.figures_of(&call).moved_tokens += moved;
         let to_first_event = match self.load.service {
-            Service::Engines => SET_UP + READ_TOKEN * read as u32,
-            Service::Plain => PLAIN_WORK,
+            Service::Engines => SET_UP_TIME + READ_TIME_PER_TOKEN * read as u32,
+            Service::Plain => PLAIN_CALL_TIME,
         };
         let run = Run {
             call: n,
@@ -313,7 +313,7 @@
         };
         self.sent.insert(n, sent);
         if self.targets[target].is_cut_off {
-            self.after(self.load.deadline, Event::GivenUp(n));
+            self.after(self.load.deadline, Event::DeadlinePassed(n));
             return;
         }
         if let Some(run) = self.targets[target].on_arrival(run) {
@@ -322,7 +322,7 @@
     }
 
     /// Sends a call that a target did not complete to another target.
-    fn send_on(
+    fn send_elsewhere(
         &mut self,
         n: u64,
         call: Call,
@@ -337,14 +337,14 @@
     }
 
     /// Returns whether a target has more calls than twice the mean of its service plus three.
-    fn is_above(&self, target: usize) -> bool {
+    fn is_overloaded(&self, target: usize) -> bool {
         let alive = self.targets.iter().filter(|t| !t.is_lost);
         let mean = alive.clone().map(Target::calls).sum::<usize>() as f64 / alive.count() as f64;
         self.targets[target].calls() as f64 > 2.0 * mean + 3.0
     }
 
     fn begin(&mut self, run: Run) {
-        self.after(run.to_first_event, Event::Begins(run.call));
+        self.after(run.to_first_event, Event::FirstEvent(run.call));
     }
 
     fn on_first_event(&mut self, n: u64) {
@@ -353,15 +353,15 @@
             // Its target was lost.
             return;
         };
-        if sent.call.request == CRASHER {
+        if sent.call.request == CRASHING_REQUEST {
             let target = sent.target;
-            return self.on_target_ends(target);
+            return self.on_target_crash(target);
         }
         self.routers[sent.router].on_first_event(now, &mut sent.ticket);
         let (router, target) = (sent.router, sent.target);
         let call = sent.call;
-        if self.leaves(target) {
-            self.hear_of_withdrawal(router, target);
+        if self.is_leaving(target) {
+            self.on_withdrawal_response(router, target);
         }
         let figures = self.figures_of(&call);
         let is_in_time = now.since(call.at) <= goal;
@@ -371,10 +371,12 @@
         }
         figures.others_in_time += u64::from(is_in_time && call.account != 0);
         let answer = match self.load.service {
-            Service::Engines => ANSWER.mul_f64(self.rng.random_range(ANSWER_SPREAD)),
+            Service::Engines => {
+                MEAN_ANSWER_TIME.mul_f64(self.rng.random_range(ANSWER_TIME_FACTORS))
+            }
             Service::Plain => Duration::ZERO,
         };
-        self.after(answer, Event::Ends(n));
+        self.after(answer, Event::CallEnds(n));
     }
 
     fn on_end(&mut self, n: u64) {
@@ -391,7 +393,7 @@
     }
 
     /// Ends a call that hangs at a cut-off target, when its deadline has passed.
-    fn on_given_up(&mut self, n: u64) {
+    fn on_deadline(&mut self, n: u64) {
         if let Some(sent) = self.sent.remove(&n) {
             let router = &mut self.routers[sent.router];
             router.on_end(self.now, &sent.ticket, Some(Health::Broken));
--- a/tests/load/model/changes.rs
+++ b/tests/load/model/changes.rs
@@ -7,7 +7,7 @@
 use super::{Model, Sent, new_target, record};
 
 /// Time after the change at which lost targets leave the list of targets.
-pub(super) const LISTED_ON: Duration = Duration::from_secs(3);
+pub(super) const DELISTING_DELAY: Duration = Duration::from_secs(3);
 
 impl Model {
     pub(super) fn on_targets_change(&mut self) {
@@ -27,7 +27,7 @@
                     // one.
                     self.count += 1;
                     let n = self.count;
-                    self.send_on(n, call, router, &ticket, plan, Outcome::Broken);
+                    self.send_elsewhere(n, call, router, &ticket, plan, Outcome::Broken);
                 }
             }
         }
@@ -44,19 +44,19 @@
         for target in &mut self.targets[first..] {
             target.cold_until = cold_until;
         }
-        self.list(0..first + change.added, 2);
+        self.send_list(0..first + change.added, 2);
     }
 
-    pub(super) fn on_targets_go(&mut self) {
+    pub(super) fn on_targets_delisted(&mut self) {
         let lost = self.load.change.map_or(0, |c| c.lost);
-        self.list(lost..self.targets.len(), 3);
+        self.send_list(lost..self.targets.len(), 3);
     }
 
     fn cold_for(&self) -> Duration {
         self.load.warm_up.map_or(Duration::ZERO, |w| w.duration)
     }
 
-    fn list(&mut self, targets: Range<usize>, revision: u64) {
+    fn send_list(&mut self, targets: Range<usize>, revision: u64) {
         let revision = StoreRevision::first_era(revision);
         let record = |n: usize| TargetRecord {
             cold_for: self.targets[n].cold_until.since(self.now),
--- a/tests/load/model/crashes.rs
+++ b/tests/load/model/crashes.rs
@@ -10,21 +10,21 @@
 use super::{Call, Event, Model, Sent, new_target, record};
 
 /// Fingerprint of the request that crashes targets; every other call has a fingerprint of its own.
-pub(super) const CRASHER: u64 = 0;
+pub(super) const CRASHING_REQUEST: u64 = 0;
 
 /// Time between a target's crash and the start of its replacement.
-const AWAY: Duration = Duration::from_millis(2_500);
+const RESTART_TIME: Duration = Duration::from_millis(2_500);
 
 /// Delay after which all readers see a write to the store.
-const STORED_AFTER: Duration = Duration::from_millis(400);
+const STORE_DELAY: Duration = Duration::from_millis(400);
 
 /// Schedule of the crashing request and of the suspended routers.
 #[derive(Debug, Clone, Copy)]
-pub struct Crashes {
+pub struct CrashSchedule {
     /// When the request is sent first, counted from the start of the run.
     pub from: Duration,
     /// Interval between two arrivals of the request, each at a random router.
-    pub every: Duration,
+    pub interval: Duration,
     /// Number of routers, from the first, that are suspended.
     pub suspended: usize,
     /// When the suspension starts, counted from the start of the run.
@@ -35,9 +35,9 @@
 
 /// Results of a run with a crashing request.
 #[derive(Debug, Default)]
-pub struct Crashed {
+pub struct CrashResults {
     /// When targets crashed.
-    pub ended: Vec<Instant>,
+    pub crashed_at: Vec<Instant>,
     /// When calls with the crashing request were sent to targets.
     pub sent: Vec<Instant>,
     /// Number of calls with the crashing request that were rejected as quarantined.
@@ -50,10 +50,10 @@
     stored: Vec<(Instant, Fingerprint)>,
 }
 
-impl Crashed {
+impl CrashResults {
     /// Returns how often the request was sent later than `after` after the third crash.
     pub fn sent_later_than(&self, after: Duration) -> usize {
-        let Some(third) = self.ended.get(2) else {
+        let Some(third) = self.crashed_at.get(2) else {
             return 0;
         };
         let later = |at: &&Instant| at.since(*third) > after;
@@ -62,21 +62,21 @@
 }
 
 impl Model {
-    pub(super) fn on_crasher(&mut self) {
+    pub(super) fn on_crashing_request(&mut self) {
         let crashes = self.load.crashes.expect("it comes");
-        self.after(crashes.every, Event::CrasherComes);
+        self.after(crashes.interval, Event::CrashingRequestArrives);
         let call = Call {
             at: self.now,
             account: 0,
             prompt: 0,
             tries: 0,
-            request: CRASHER,
+            request: CRASHING_REQUEST,
         };
         self.on_call(call);
     }
 
     /// Returns the routers that are not suspended now: they take calls and receive updates.
-    pub(super) fn awake(&self) -> Range<usize> {
+    pub(super) fn active_routers(&self) -> Range<usize> {
         let suspended = self.load.crashes.map_or(0, |c| {
             let since = self.now.0.checked_sub(c.suspended_from);
             let is_on = since.is_some_and(|since| since < c.suspended_for);
@@ -86,18 +86,19 @@
     }
 
     /// Returns whether a router has a call's request in quarantine, and counts the rejection.
-    pub(super) fn holds_back(&mut self, router: usize, call: &Call) -> bool {
+    pub(super) fn is_quarantined(&mut self, router: usize, call: &Call) -> bool {
         let request = Fingerprint(call.request);
         let quarantine = &self.routers[router].quarantine;
-        let holds = quarantine.time_left(self.now, request).is_some();
-        self.crashed.refused += u64::from(holds && call.request == CRASHER);
-        self.crashed.others_refused += u64::from(holds && call.request != CRASHER);
-        holds
+        let is_quarantined = quarantine.time_left(self.now, request).is_some();
+        self.crash_results.refused += u64::from(is_quarantined && call.request == CRASHING_REQUEST);
+        self.crash_results.others_refused +=
+            u64::from(is_quarantined && call.request != CRASHING_REQUEST);
+        is_quarantined
     }
 
     /// Handles the crash of a target: all its calls break off and their routers record the crash.
-    pub(super) fn on_target_ends(&mut self, target: usize) {
-        self.crashed.ended.push(self.now);
+    pub(super) fn on_target_crash(&mut self, target: usize) {
+        self.crash_results.crashed_at.push(self.now);
         let hash = TargetHash::from(&record(target, self.load.slots).id);
         for run in self.targets[target].on_loss() {
             let Some(sent) = self.sent.remove(&run) else {
@@ -109,7 +110,7 @@
                 ticket,
                 ..
             } = sent;
-            self.crashed.broken_off += u64::from(call.request != CRASHER);
+            self.crash_results.broken_off += u64::from(call.request != CRASHING_REQUEST);
             let router = &mut self.routers[router];
             router.on_end(self.now, &ticket, Some(Outcome::Broken));
             let request = Fingerprint(call.request);
@@ -118,18 +119,18 @@
                 .on_crash(self.now, request, hash)
                 .is_some()
             {
-                let known = self.now + STORED_AFTER;
-                self.crashed.stored.push((known, request));
+                let known = self.now + STORE_DELAY;
+                self.crash_results.stored.push((known, request));
             }
         }
-        self.after(AWAY, Event::TargetReturns);
+        self.after(RESTART_TIME, Event::TargetRestarts);
     }
 
     /// Starts a target with a new name, and sends all routers the current list of targets.
-    pub(super) fn on_target_returns(&mut self) {
+    pub(super) fn on_target_restart(&mut self) {
         self.targets.push(new_target(&self.load));
-        self.starts += 1;
-        let revision = StoreRevision::first_era(1 + self.starts);
+        self.restarts += 1;
+        let revision = StoreRevision::first_era(1 + self.restarts);
         let live = (0..self.targets.len()).filter(|n| !self.targets[*n].is_lost);
         let records: Vec<_> = live
             .map(|n| (record(n, self.load.slots), revision))
@@ -141,18 +142,18 @@
     }
 
     /// Sends crash notices among the routers that are not suspended, and tells them the stored quarantines.
-    pub(super) fn tell_endings(&mut self) {
-        let (now, awake) = (self.now, self.awake());
-        let notices = self.routers[awake.clone()]
+    pub(super) fn exchange_crash_notices(&mut self) {
+        let (now, active_routers) = (self.now, self.active_routers());
+        let notices = self.routers[active_routers.clone()]
             .iter()
             .flat_map(|d| d.quarantine.crash_notices(now));
         let notices: Vec<_> = notices.collect();
-        let stored = self.crashed.stored.iter();
+        let stored = self.crash_results.stored.iter();
         let stored: BTreeSet<Fingerprint> = stored
             .filter(|(known, _)| *known <= now)
             .map(|(_, request)| *request)
             .collect();
-        for router in &mut self.routers[awake] {
+        for router in &mut self.routers[active_routers] {
             router.quarantine.on_crash_notices(now, &notices);
             for request in &stored {
                 router.quarantine.on_stored(now, *request);
@@ -161,8 +162,8 @@
     }
 
     /// Returns the results for the crashing request.
-    pub fn crashed(&self) -> &Crashed {
-        &self.crashed
+    pub fn crash_results(&self) -> &CrashResults {
+        &self.crash_results
     }
 
     /// Returns the maximum number of suspected requests that any router tracks.
--- a/tests/load/model/load.rs
+++ b/tests/load/model/load.rs
@@ -4,7 +4,7 @@
 
 use scaleford::admission::warm_up::WarmUp;
 
-use super::{crashes::Crashes, withdrawals::Withdrawing};
+use super::{crashes::CrashSchedule, withdrawals::WithdrawalSchedule};
 
 /// A fleet, the calls sent to it, and the faults that happen during a run.
 #[derive(Debug, Clone, Copy)]
@@ -34,9 +34,9 @@
     pub warm_up: Option<WarmUp>,
     pub fleet: Fleet,
     /// A request that crashes targets; `None` if there is none.
-    pub crashes: Option<Crashes>,
+    pub crashes: Option<CrashSchedule>,
     /// Targets that accept no calls; `None` if all accept calls.
-    pub withdrawing: Option<Withdrawing>,
+    pub withdrawing: Option<WithdrawalSchedule>,
 }
 
 /// Which other routers each router knows.
--- a/tests/load/model/target.rs
+++ b/tests/load/model/target.rs
@@ -25,10 +25,10 @@
     running: Vec<u64>,
     queue: VecDeque<Run>,
     /// Maximum number of calls in the queue.
-    most_waiting: usize,
+    max_waiting: usize,
     cache: LruCache<PartId, u64>,
     /// Number of tokens in the cache.
-    held: u64,
+    cached_tokens: u64,
     /// When the target stops being cold.
     pub cold_until: Instant,
     /// When calls arrived while the target was cold.
@@ -40,14 +40,14 @@
 }
 
 impl Target {
-    pub fn new(slots: u32, most_waiting: usize) -> Self {
+    pub fn new(slots: u32, max_waiting: usize) -> Self {
         Self {
             slots,
             running: Vec::new(),
             queue: VecDeque::new(),
-            most_waiting,
+            max_waiting,
             cache: LruCache::unbounded(),
-            held: 0,
+            cached_tokens: 0,
             cold_until: Instant::default(),
             cold_arrivals: Vec::new(),
             is_cut_off: false,
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn holds(&self, part: PartId) -> bool {
+    pub fn caches(&self, part: PartId) -> bool {
         self.cache.contains(&part)
     }
 
@@ -65,19 +65,19 @@
         for part in prompt {
             let tokens = part.tokens.0;
             if self.cache.put(part.id, tokens).is_none() {
-                self.held += tokens;
+                self.cached_tokens += tokens;
                 missing += tokens;
             }
         }
-        while self.held > MEMORY_TOKENS {
+        while self.cached_tokens > MEMORY_TOKENS {
             let (_, tokens) = self.cache.pop_lru().expect("what is held is cached");
-            self.held -= tokens;
+            self.cached_tokens -= tokens;
         }
         missing
     }
 
     /// Records the arrival of a call if the target is cold, whether the call is accepted or not.
-    pub fn note_arrival(&mut self, now: Instant) {
+    pub fn record_arrival(&mut self, now: Instant) {
         if now < self.cold_until {
             self.cold_arrivals.push(now);
         }
@@ -104,11 +104,11 @@
     }
 
     /// Returns how a new call ends if the target does not accept it now, and `None` if it does.
-    pub fn turns_away(&self) -> Option<Outcome> {
+    pub fn rejection(&self) -> Option<Outcome> {
         let is_full = self.running.len() == self.slots as usize;
         match () {
             () if self.is_lost => Some(Outcome::Broken),
-            () if is_full && self.queue.len() >= self.most_waiting => Some(Outcome::Full),
+            () if is_full && self.queue.len() >= self.max_waiting => Some(Outcome::Full),
             () => None,
         }
     }
--- a/tests/load/model/telling.rs
+++ b/tests/load/model/updates.rs
@@ -13,56 +13,56 @@
 use super::{Event, Model, Sent, hall, rules};
 
 /// Minimum interval between updates that routers send one another, as in `membership::timing`.
-const TELL: Duration = Duration::from_millis(100);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between updates per router of the fleet, used with hubs where it comes to more than the minimum.
-const TELL_PER_ROUTER: Duration = Duration::from_micros(1_200);
+const SEND_INTERVAL_PER_ROUTER: Duration = Duration::from_micros(1_200);
 
 impl Model {
-    pub(super) fn tell_every(&self) -> Duration {
-        let paced = TELL_PER_ROUTER * self.load.routers as u32;
+    pub(super) fn send_interval(&self) -> Duration {
+        let interval = SEND_INTERVAL_PER_ROUTER * self.load.routers as u32;
         if self.load.hubs {
-            TELL.max(paced)
+            MIN_SEND_INTERVAL.max(interval)
         } else {
-            TELL
+            MIN_SEND_INTERVAL
         }
     }
 
     /// Gives each router the counts of all calls in progress, as through a hub, the crash and outage notices,
     /// and the announcements of prompts that were first sent to a target.
-    pub(super) fn on_tell(&mut self) {
-        self.after(self.tell_every(), Event::RoutersTell);
+    pub(super) fn on_send_updates(&mut self) {
+        self.after(self.send_interval(), Event::SendUpdates);
         let now = self.now;
         let targets = &self.targets;
-        let answers = |sent: &&Sent| !targets[sent.target].is_cut_off;
-        for sent in self.sent.values().filter(answers) {
+        let is_reachable = |sent: &&Sent| !targets[sent.target].is_cut_off;
+        for sent in self.sent.values().filter(is_reachable) {
             // Answers in progress produce events all the time.
             let health = &mut self.routers[sent.router].health;
             health.on_activity(now, &sent.ticket.target.id);
         }
-        let told: Vec<TargetCounts> = self
+        let own_counts: Vec<TargetCounts> = self
             .routers
             .iter_mut()
             .map(|d| d.load.own_counts())
             .collect();
         let mut hub = Dispatcher::new(hall(), &rules());
-        for (n, counts) in told.into_iter().enumerate() {
+        for (n, counts) in own_counts.into_iter().enumerate() {
             let vm = format!("vm-{n}").parse().unwrap();
             hub.load.on_peer(now, vm, hall(), counts);
         }
-        let rates = self.rates_through_hubs(&mut hub);
-        let sums = self.through_hubs(vec![hub.load.own_hall_sum(now)]);
+        let rates = self.hub_rates(&mut hub);
+        let sums = self.hub_sums(vec![hub.load.own_hall_sum(now)]);
         let notices = self.routers.iter().map(|d| d.health.outages.notices(now));
         let notices: Vec<_> = notices.flatten().collect();
-        let news = self
+        let announcements = self
             .routers
             .iter_mut()
             .map(|d| d.cache.take_announcements(60, false));
-        let news: Vec<_> = news.flatten().collect();
-        self.tell_endings();
+        let announcements: Vec<_> = announcements.flatten().collect();
+        self.exchange_crash_notices();
         for router in &mut self.routers {
             router.load.on_hall_sums(now, sums.clone());
             router.health.outages.on_notices(now, &notices);
-            for (id, tokens, target) in &news {
+            for (id, tokens, target) in &announcements {
                 let (id, tokens) = (*id, *tokens);
                 router
                     .cache
@@ -79,33 +79,33 @@
     }
 
     /// Returns the account rates that hubs report now, if a report is due: those from one report before.
-    fn rates_through_hubs(&mut self, hub: &mut Dispatcher) -> Option<HallRates> {
+    fn hub_rates(&mut self, hub: &mut Dispatcher) -> Option<HallRates> {
         let now = self.now;
-        if now.since(self.rates_told) < RATE_REPORT_INTERVAL {
+        if now.since(self.rates_reported_at) < RATE_REPORT_INTERVAL {
             return None;
         }
-        self.rates_told = now;
+        self.rates_reported_at = now;
         for (n, router) in self.routers.iter().enumerate() {
             let vm = format!("vm-{n}").parse().unwrap();
             let own = vec![router.admission.own_rates(now)];
             hub.admission.on_rate_reports(now, &vm, &hall(), own);
         }
-        let learned = hub.admission.hall_rates(now, &hall());
-        self.rates_at_hubs.replace(learned)
+        let received = hub.admission.hall_rates(now, &hall());
+        self.rates_at_hubs.replace(received)
     }
 
     /// Returns the sums that routers receive now, given those that hubs receive now.
     ///
     /// With hubs, which send at an interval of their own, these are the sums of the round before, whose age
     /// is one interval.
-    fn through_hubs(&mut self, learned: HallSums) -> HallSums {
+    fn hub_sums(&mut self, received: HallSums) -> HallSums {
         if !self.load.hubs {
-            return learned;
+            return received;
         }
-        let mut told = self.at_hubs.replace(learned).unwrap_or_default();
-        for sum in &mut told {
-            sum.age_ms = self.tell_every().as_millis() as u16;
+        let mut sums = self.sums_at_hubs.replace(received).unwrap_or_default();
+        for sum in &mut sums {
+            sum.age_ms = self.send_interval().as_millis() as u16;
         }
-        told
+        sums
     }
 }
--- a/tests/load/model/withdrawals.rs
+++ b/tests/load/model/withdrawals.rs
@@ -8,7 +8,7 @@
 
 /// Schedule of the targets that accept no calls.
 #[derive(Debug, Clone, Copy)]
-pub struct Withdrawing {
+pub struct WithdrawalSchedule {
     /// When targets start to accept no calls, counted from the start of the run.
     pub from: Duration,
     /// When they accept calls again, counted from the start of the run.
@@ -22,18 +22,18 @@
 }
 
 /// Time that the users' rules give a router to apply a backoff that a target asked for.
-const BACKOFF_HEARD: Duration = Duration::from_millis(500);
+const BACKOFF_GRACE: Duration = Duration::from_millis(500);
 /// Time that the users' rules give a router to stop sending calls to a target that leaves.
-const LEAVING_HEARD: Duration = Duration::from_secs(2);
+const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
 /// Withdrawals that targets announced to routers, and the calls that these routers sent them afterwards.
 #[derive(Debug, Default)]
-pub struct Withdrawn {
+pub struct WithdrawalResults {
     /// Latest withdrawal by router and target.
-    said: HashMap<(usize, usize), Said>,
-    /// Maximum number of calls that one router sent to one target within one backoff, after `BACKOFF_HEARD`.
+    received: HashMap<(usize, usize), ReceivedWithdrawal>,
+    /// Maximum number of calls that one router sent to one target within one backoff, after `BACKOFF_GRACE`.
     pub most_within_backoff: usize,
-    /// Number of calls sent to leaving targets by routers that had learned of it more than `LEAVING_HEARD`
+    /// Number of calls sent to leaving targets by routers that had learned of it more than `LEAVING_GRACE`
     /// ago.
     pub sent_to_leaving: usize,
     /// Number of calls that shedding targets rejected.
@@ -42,7 +42,7 @@
 
 /// A withdrawal that a router received from a target.
 #[derive(Debug)]
-struct Said {
+struct ReceivedWithdrawal {
     /// When the router received it first.
     at: Instant,
     /// When the backoff ends; `None` for a target that leaves.
@@ -53,61 +53,67 @@
 
 impl Model {
     /// Returns the schedule if targets withdraw now.
-    fn withdrawing(&self) -> Option<Withdrawing> {
-        let played = self.load.withdrawing?;
-        (played.from..played.until)
+    fn current_withdrawals(&self) -> Option<WithdrawalSchedule> {
+        let schedule = self.load.withdrawing?;
+        (schedule.from..schedule.until)
             .contains(&self.now.0)
-            .then_some(played)
+            .then_some(schedule)
     }
 
     /// Returns whether a target rejects all calls now.
-    pub(super) fn sheds(&self, target: usize) -> bool {
-        self.withdrawing().is_some_and(|w| target < w.shedding)
+    pub(super) fn rejects_all_calls(&self, target: usize) -> bool {
+        self.current_withdrawals()
+            .is_some_and(|w| target < w.shedding)
     }
 
     /// Returns whether a target announces now that it leaves.
-    pub(super) fn leaves(&self, target: usize) -> bool {
-        let leaves = |w: Withdrawing| (w.shedding..w.shedding + w.leaving).contains(&target);
-        self.withdrawing().is_some_and(leaves)
+    pub(super) fn is_leaving(&self, target: usize) -> bool {
+        let is_leaving =
+            |w: WithdrawalSchedule| (w.shedding..w.shedding + w.leaving).contains(&target);
+        self.current_withdrawals().is_some_and(is_leaving)
     }
 
     /// Counts a call that a router sends to a target, if the target has withdrawn for this router.
-    pub(super) fn note_withdrawn(&mut self, router: usize, target: usize) {
+    pub(super) fn record_send_after_withdrawal(&mut self, router: usize, target: usize) {
         let now = self.now;
-        let seen = &mut self.withdrawn;
-        let Some(said) = seen.said.get_mut(&(router, target)) else {
+        let results = &mut self.withdrawal_results;
+        let Some(withdrawal) = results.received.get_mut(&(router, target)) else {
             return;
         };
-        let after = now.since(said.at);
-        match said.until {
-            None => seen.sent_to_leaving += usize::from(after > LEAVING_HEARD),
-            Some(until) if now < until && after > BACKOFF_HEARD => {
-                said.sent += 1;
-                seen.most_within_backoff = seen.most_within_backoff.max(said.sent);
+        let after = now.since(withdrawal.at);
+        match withdrawal.until {
+            None => results.sent_to_leaving += usize::from(after > LEAVING_GRACE),
+            Some(until) if now < until && after > BACKOFF_GRACE => {
+                withdrawal.sent += 1;
+                results.most_within_backoff = results.most_within_backoff.max(withdrawal.sent);
             }
             Some(_) => {}
         }
     }
 
     /// Handles a response in which a target announces to a router that it accepts no calls.
-    pub(super) fn hear_of_withdrawal(&mut self, router: usize, target: usize) {
+    pub(super) fn on_withdrawal_response(&mut self, router: usize, target: usize) {
         let now = self.now;
-        let played = self.load.withdrawing.expect("it is played");
-        let withdrawal = match target < played.shedding {
-            true => Withdrawal::Backoff(played.backoff_s.to_string().parse().unwrap()),
+        let schedule = self.load.withdrawing.expect("it is played");
+        let withdrawal = match target < schedule.shedding {
+            true => Withdrawal::Backoff(schedule.backoff_s.to_string().parse().unwrap()),
             false => Withdrawal::Leaving,
         };
-        self.withdrawn.shed += usize::from(target < played.shedding);
+        self.withdrawal_results.shed += usize::from(target < schedule.shedding);
         let until = withdrawal.backoff().map(|b| now + b);
-        let said = Said {
+        let received = ReceivedWithdrawal {
             at: now,
             until,
             sent: 0,
         };
-        let is_over = |s: &Said| s.until.is_some_and(|until| now >= until);
-        let known = self.withdrawn.said.entry((router, target)).or_insert(said);
+        let is_over = |s: &ReceivedWithdrawal| s.until.is_some_and(|until| now >= until);
+        let known = self
+            .withdrawal_results
+            .received
+            .entry((router, target))
+            .or_insert(received);
         if is_over(known) {
-            *known = Said {
+            *known = ReceivedWithdrawal {
                 at: now,
                 until,
                 sent: 0,
@@ -118,7 +124,7 @@
     }
 
     /// Returns the results for targets that accept no calls.
-    pub fn withdrawn(&self) -> &Withdrawn {
-        &self.withdrawn
+    pub fn withdrawal_results(&self) -> &WithdrawalResults {
+        &self.withdrawal_results
     }
 }
--- a/tests/load/overload.rs
+++ b/tests/load/overload.rs
@@ -106,7 +106,7 @@
 #[rstest]
 #[case::small(7, 12, 150.0)]
 #[case::grown(87, 110, 1_375.0)]
-#[case::of_letter_1(380, 120, 1_500.0)]
+#[case::design_size(380, 120, 1_500.0)]
 fn refusals_do_not_swing(#[case] routers: usize, #[case] targets: usize, #[case] rate: f64) {
     let mut model = Model::new(Load {
         routers,
--- a/tests/load/stale_counts.rs
+++ b/tests/load/stale_counts.rs
@@ -54,11 +54,11 @@
 };
 
 /// Seconds of the run that the tests check: after the change, where there is one.
-const JUDGED: Range<usize> = 5..12;
+const CHECKED_SECONDS: Range<usize> = 5..12;
 
-fn play(load: Load) -> Model {
+fn run_load(load: Load) -> Model {
     let mut model = Model::new(load);
-    model.run(JUDGED.end as u64);
+    model.run(CHECKED_SECONDS.end as u64);
     model
 }
 
@@ -68,14 +68,14 @@
     #[values(7, 87, 295, 380)] routers: usize,
     #[values(0.33, 0.67)] part: f64,
 ) {
-    let model = play(Load {
+    let model = run_load(Load {
         routers,
         calls_per_s: PLAIN_CAPACITY * part,
         ..PLAIN
     });
-    let away = model.turned_away(JUDGED);
+    let away = model.turned_away(CHECKED_SECONDS);
     assert!(away < 0.01, "{away} turned away");
-    let in_time = model.share(JUDGED, Outcome::InTime);
+    let in_time = model.share(CHECKED_SECONDS, Outcome::InTime);
     assert!(in_time > 0.99, "{in_time} in time");
 }
 
@@ -83,15 +83,15 @@
 /// of the arrivals, and 0.44 to 0.53 of the calls were in time.
 #[rstest]
 fn plain_targets_do_the_work_of_one_that_was_lost(#[values(7, 87, 295, 380)] routers: usize) {
-    let model = play(Load {
+    let model = run_load(Load {
         routers,
         calls_per_s: PLAIN_CAPACITY * 0.67,
         change: Some(ONE_LOST),
         ..PLAIN
     });
-    let away = model.turned_away(JUDGED);
+    let away = model.turned_away(CHECKED_SECONDS);
     assert!(away < 0.07, "{away} turned away");
-    let in_time = model.share(JUDGED, Outcome::InTime);
+    let in_time = model.share(CHECKED_SECONDS, Outcome::InTime);
     assert!(in_time > 0.95, "{in_time} in time");
 }
 
@@ -101,22 +101,22 @@
 #[case::small(7, 0.9, 0.97)]
 #[case::grown(87, 0.9, 0.97)]
 #[case::large(295, 0.9, 0.96)]
-#[case::of_letter_1(380, 0.9, 0.94)]
+#[case::design_size(380, 0.9, 0.94)]
 #[case::small(7, 1.5, 0.6)]
 #[case::grown(87, 1.5, 0.5)]
 #[case::large(295, 1.5, 0.38)]
-#[case::of_letter_1(380, 1.5, 0.38)]
+#[case::design_size(380, 1.5, 0.38)]
 fn plain_targets_at_their_limit_stay_busy(
     #[case] routers: usize,
     #[case] part: f64,
     #[case] least: f64,
 ) {
-    let model = play(Load {
+    let model = run_load(Load {
         routers,
         calls_per_s: PLAIN_CAPACITY * part,
         ..PLAIN
     });
-    let in_time = model.share(JUDGED, Outcome::InTime);
+    let in_time = model.share(CHECKED_SECONDS, Outcome::InTime);
     assert!(in_time > least, "{in_time} in time");
 }
 
@@ -158,7 +158,7 @@
         cooled: 0,
         cut_off: 0,
     };
-    let model = play(Load {
+    let model = run_load(Load {
         routers,
         change: Some(change),
         ..ENGINES
@@ -173,14 +173,14 @@
 #[case::small(7, 0.05)]
 #[case::grown(87, 0.05)]
 #[case::large(295, 0.25)]
-#[case::of_letter_1(380, 0.35)]
+#[case::design_size(380, 0.35)]
 fn hot_prompts_are_spread_before_counts_tell(#[case] routers: usize, #[case] most: f64) {
-    let model = play(Load {
+    let model = run_load(Load {
         routers,
         prompts: 4,
         ..ENGINES
     });
-    let above = model.sent_above(JUDGED);
+    let above = model.sent_above(CHECKED_SECONDS);
     assert!(above < most, "{above} above twice the mean");
 }
 
--- a/tests/load/withdrawals.rs
+++ b/tests/load/withdrawals.rs
@@ -8,10 +8,10 @@
 
 use rstest::rstest;
 
-use crate::model::{Load, Model, Outcome, Service, Withdrawing};
+use crate::model::{Load, Model, Outcome, Service, WithdrawalSchedule};
 
 const ENGINES: Load = Load {
-    withdrawing: Some(Withdrawing {
+    withdrawing: Some(WithdrawalSchedule {
         from: Duration::from_secs(4),
         until: Duration::from_secs(13),
         shedding: 3,
@@ -28,7 +28,7 @@
     goal: Duration::from_millis(150),
     deadline: Duration::from_millis(1_000),
     service: Service::Plain,
-    withdrawing: Some(Withdrawing {
+    withdrawing: Some(WithdrawalSchedule {
         from: Duration::from_secs(4),
         until: Duration::from_secs(13),
         shedding: 1,
@@ -41,12 +41,12 @@
 #[rstest]
 #[case::engines(ENGINES)]
 #[case::plain(PLAIN)]
-#[case::engines_many(Load { routers: 295, targets: 165, calls_per_s: 900.0, hubs: true, withdrawing: many(50), ..ENGINES })]
-#[case::engines_design_size(Load { routers: 380, targets: 400, calls_per_s: 1_800.0, hubs: true, withdrawing: many(120), ..ENGINES })]
+#[case::engines_many(Load { routers: 295, targets: 165, calls_per_s: 900.0, hubs: true, withdrawing: many_withdrawals(50), ..ENGINES })]
+#[case::engines_design_size(Load { routers: 380, targets: 400, calls_per_s: 1_800.0, hubs: true, withdrawing: many_withdrawals(120), ..ENGINES })]
 fn what_targets_say_of_themselves_is_heeded(#[case] load: Load, #[values(1, 2, 3)] seed: u64) {
     let mut model = Model::new(Load { seed, ..load });
     model.run(20);
-    let seen = model.withdrawn();
+    let seen = model.withdrawal_results();
     assert!(seen.shed > 0);
     assert_eq!(seen.sent_to_leaving, 0);
     assert!(
@@ -61,8 +61,8 @@
     assert!(served > 0.9, "{served} afterwards");
 }
 
-fn many(shedding: usize) -> Option<Withdrawing> {
-    Some(Withdrawing {
+fn many_withdrawals(shedding: usize) -> Option<WithdrawalSchedule> {
+    Some(WithdrawalSchedule {
         shedding,
         leaving: shedding / 3,
         from: Duration::from_secs(4),
@@ -72,10 +72,10 @@
 }
 
 /// Seconds of the run by which most targets have asked all routers for a backoff.
-const HEARD: std::ops::Range<usize> = 5..7;
+const FIRST_TRIES: std::ops::Range<usize> = 5..7;
 /// Maximum fraction of refused callers that are refused again: most callers that get the backoff from one of
 /// the routers are served at their retry.
-const AGAIN: f64 = 0.5;
+const MAX_REFUSED_AGAIN: f64 = 0.5;
 
 /// Where all targets reject calls for a while, callers retry when the first target accepts calls again, and
 /// are served then.
@@ -87,7 +87,7 @@
     #[case] targets: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let withdrawing = Some(Withdrawing {
+    let withdrawing = Some(WithdrawalSchedule {
         from: Duration::from_secs(4),
         until: Duration::from_millis(6_900),
         shedding: targets,
@@ -101,7 +101,7 @@
         ..load
     });
     model.run(20);
-    let seen = model.withdrawn();
+    let seen = model.withdrawal_results();
     assert!(
         seen.most_within_backoff <= 2,
         "{}",
@@ -114,8 +114,8 @@
         "{} turned away, {most} expected",
         seen.shed
     );
-    let again = model.refused_again_of(HEARD);
-    assert!(again < AGAIN, "{again} refused again");
+    let again = model.refused_again_of(FIRST_TRIES);
+    assert!(again < MAX_REFUSED_AGAIN, "{again} refused again");
     let served = model.share(8..18, Outcome::InTime);
     assert!(served > 0.9, "{served} afterwards");
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -29,18 +29,18 @@
 
 struct Router {
     peers: Peers,
-    life: u64,
+    incarnation: u64,
     number: u64,
     started: Instant,
-    told: Instant,
-    compared: Instant,
+    last_sent: Instant,
+    last_compared: Instant,
     stopping: bool,
 }
 
 struct Net {
     now: Instant,
     routers: BTreeMap<usize, Router>,
-    flying: Vec<(usize, usize, Datagram)>,
+    in_flight: Vec<(usize, usize, Datagram)>,
     paused: BTreeSet<usize>,
     cut: BTreeSet<(usize, usize)>,
     halls: usize,
@@ -84,7 +84,7 @@
         let mut net = Self {
             now: Instant::default(),
             routers: BTreeMap::new(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             paused: BTreeSet::new(),
             cut: BTreeSet::new(),
             halls: 3,
@@ -101,19 +101,26 @@
         format!("hall-{}", i % self.halls).parse().unwrap()
     }
 
-    fn start(&mut self, i: usize, life: u64) {
+    fn start(&mut self, i: usize, incarnation: u64) {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
-        let strength = CapacityClass::new(100.0, 0.5);
+        let capacity = CapacityClass::new(100.0, 0.5);
         let hall = self.hall(i);
-        let peers = Peers::new(vm(i), hall, strength, Incarnation(life), address(i), &seeds);
+        let peers = Peers::new(
+            vm(i),
+            hall,
+            capacity,
+            Incarnation(incarnation),
+            address(i),
+            &seeds,
+        );
         let wait = Duration::from_millis(self.rng.random_range(0..300));
         let router = Router {
             peers,
-            life,
+            incarnation,
             number: 0,
             started: self.now + wait,
-            told: self.now + wait,
-            compared: self.now + wait,
+            last_sent: self.now + wait,
+            last_compared: self.now + wait,
             stopping: false,
         };
         self.routers.insert(i, router);
@@ -136,7 +143,7 @@
             capacity: CapacityClass::new(100.0, 0.5),
             number: router.number,
             sent: Stamp {
-                incarnation: Incarnation(router.life),
+                incarnation: Incarnation(router.incarnation),
                 micros: now.0.as_micros() as u64,
             },
             echo: None,
@@ -159,53 +166,56 @@
         }
     }
 
-    fn tell_all(&mut self, i: usize) {
-        let told = self.datagram(i);
+    fn send_to_all(&mut self, i: usize) {
+        let outgoing = self.datagram(i);
         let all = self.routers[&i].peers.all_receivers();
         all.into_iter()
-            .for_each(|to| self.send(i, to.address, &told));
+            .for_each(|to| self.send(i, to.address, &outgoing));
     }
 
     /// Sends an update to the hubs, or as a hub to the data hall's routers and the other hubs.
-    fn tell_close_ones(&mut self, i: usize) {
+    fn send_to_frequent_receivers(&mut self, i: usize) {
         let now = self.now;
-        let mut told = self.datagram(i);
+        let mut outgoing = self.datagram(i);
         let router = self.routers.get_mut(&i).unwrap();
-        let mut rolls = HubDigests::default();
+        let mut digests = HubDigests::default();
         if router.peers.is_aggregator(now) {
-            rolls = router.peers.hub_digests(now, 0);
+            digests = router.peers.hub_digests(now, 0);
             let changes = router.peers.recent_changes(now);
-            told.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
+            outgoing.exchange = (!changes.is_empty()).then_some(Exchange::Records(changes));
         }
         for to in router.peers.frequent_receivers(now) {
-            let is_near = to.hall.as_ref() == Some(&told.hall);
-            told.member_digests.clone_from(if is_near {
-                &rolls.for_own_hall
+            let is_near = to.hall.as_ref() == Some(&outgoing.hall);
+            outgoing.member_digests.clone_from(if is_near {
+                &digests.for_own_hall
             } else {
-                &rolls.for_other_halls
+                &digests.for_other_halls
             });
-            self.send(i, to.address, &told);
+            self.send(i, to.address, &outgoing);
         }
     }
 
     fn compare(&mut self, i: usize) {
         let now = self.now;
-        let mut told = self.datagram(i);
+        let mut outgoing = self.datagram(i);
         let router = self.routers.get_mut(&i).unwrap();
-        router.compared = now;
-        told.exchange = Some(router.peers.compare());
+        router.last_compared = now;
+        outgoing.exchange = Some(router.peers.compare());
         if let Some(to) = router.peers.comparison_peer(now) {
-            self.send(i, to.address, &told);
+            self.send(i, to.address, &outgoing);
         }
     }
 
-    fn send(&mut self, i: usize, to: SocketAddr, told: &Datagram) {
-        self.bytes += postcard::to_stdvec(&Message::State(told)).unwrap().len() + HEADERS;
+    fn send(&mut self, i: usize, to: SocketAddr, outgoing: &Datagram) {
+        self.bytes += postcard::to_stdvec(&Message::State(outgoing))
+            .unwrap()
+            .len()
+            + HEADERS;
         self.sent += 1;
         let to = number_of(to);
         let lost = self.rng.random_bool(self.loss) || self.cut.contains(&(i, to));
         if !lost {
-            self.flying.push((i, to, told.clone()));
+            self.in_flight.push((i, to, outgoing.clone()));
         }
     }
 
@@ -225,21 +235,21 @@
     }
 
     fn deliver(&mut self) {
-        for (from, to, told) in std::mem::take(&mut self.flying) {
+        for (from, to, received) in std::mem::take(&mut self.in_flight) {
             let now = self.now;
             let running = !self.paused.contains(&to);
             let router = self.routers.get_mut(&to);
             let Some(router) = router.filter(|r| running && now >= r.started) else {
                 continue;
             };
-            let heard = router.peers.on_datagram(now, address(from), &told);
-            if heard == DatagramEffect::Outdated {
+            let effect = router.peers.on_datagram(now, address(from), &received);
+            if effect == DatagramEffect::Outdated {
                 continue;
             }
-            router.peers.on_records(now, &told);
-            let answer = router.peers.answer(now, &told);
+            router.peers.on_records(now, &received);
+            let answer = router.peers.answer(now, &received);
             // A router that joins gets a response at once.
-            if heard == DatagramEffect::Joined || answer.is_some() {
+            if effect == DatagramEffect::Joined || answer.is_some() {
                 let mut back = self.datagram(to);
                 back.exchange = answer;
                 self.send(to, address(from), &back);
@@ -261,12 +271,12 @@
             // Routers without changes to send send only heartbeats.
             false => HEARTBEAT_INTERVAL.max(send_interval(alive)),
         };
-        let compares = now.since(router.compared) >= router.peers.compare_interval(now);
-        if now.since(router.told) >= every {
-            router.told = now;
+        let compares = now.since(router.last_compared) >= router.peers.compare_interval(now);
+        if now.since(router.last_sent) >= every {
+            router.last_sent = now;
             match is_large {
-                true => self.tell_close_ones(i),
-                false => self.tell_all(i),
+                true => self.send_to_frequent_receivers(i),
+                false => self.send_to_all(i),
             }
         }
         if compares {
@@ -288,13 +298,13 @@
 }
 
 /// Maximum time for which a router that is down may count as live, whatever the size of the fleet.
-const GONE_AFTER: Duration = Duration::from_secs(5);
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(5);
 
 /// Maximum time until each router of a fleet that starts together knows all others.
-const FOUND_WITHIN: Duration = Duration::from_secs(5);
+const MAX_DISCOVERY_TIME: Duration = Duration::from_secs(5);
 
 /// Maximum rate of heartbeat traffic that one router sends, in bytes per second.
-const HEARTBEATS_LIMIT: usize = 3_000;
+const MAX_HEARTBEAT_BYTES_PER_S: usize = 3_000;
 
 /// Guards against slow discovery: in this network, routers of a fleet of 985 that started together knew 185
 /// others on average after 5 s and 735 after 24 s, and 416 considered themselves hubs. Each sent to all
@@ -306,7 +316,7 @@
 #[case::the_whole_fleet(985)]
 fn routers_that_start_together_find_one_another(#[case] n: usize) {
     let mut net = Net::starting(n, 0.01);
-    net.run(FOUND_WITHIN);
+    net.run(MAX_DISCOVERY_TIME);
     assert_eq!(net.unknown(), 0);
     let hubs = net.routers.values();
     let hubs = hubs.filter(|r| r.peers.is_large(net.now) && r.peers.is_aggregator(net.now));
@@ -322,10 +332,10 @@
 fn a_dead_router_stops_to_count_and_counts_again_when_it_is_back(#[case] n: usize) {
     let mut net = Net::new(n, 0.01);
     net.routers.remove(&3);
-    net.run(GONE_AFTER);
+    net.run(MAX_DETECTION_TIME);
     assert_eq!(net.believers(3), 0);
     net.start(3, 2);
-    net.run(GONE_AFTER);
+    net.run(MAX_DETECTION_TIME);
     assert_eq!(net.believers(3), n - 1);
 }
 
@@ -354,7 +364,7 @@
     let killed = |i: usize| i * 7_919 % 20 < 11;
     net.routers.retain(|i, _| !killed(*i));
     let left = net.routers.len();
-    net.run(GONE_AFTER * 2);
+    net.run(MAX_DETECTION_TIME * 2);
     let alive: Vec<usize> = net
         .routers
         .values()
@@ -412,7 +422,7 @@
     println!("{grown}, {large} and {whole} bytes a second a router");
     assert!(large < grown * 5 / 4, "{grown}, {large}");
     assert!(whole < grown * 5 / 4, "{grown}, {whole}");
-    assert!(whole < HEARTBEATS_LIMIT);
+    assert!(whole < MAX_HEARTBEAT_BYTES_PER_S);
 }
 
 #[test]
@@ -456,7 +466,7 @@
 fn a_router_that_stops_is_out_of_use_at_once() {
     let mut net = Net::new(85, 0.0);
     net.routers.get_mut(&9).unwrap().stopping = true;
-    net.tell_all(9);
+    net.send_to_all(9);
     net.run(STEP * 2);
     assert_eq!(net.believers(9), 0);
 }
@@ -467,15 +477,15 @@
     let mut net = Net::new(380, 0.0);
     let now = net.now;
     let seen = &mut net.routers.get_mut(&0).unwrap().peers;
-    let thing = (0..).map(|n| format!("claims/{n}"));
-    let thing = thing.into_iter().find(|t| seen.owner_of(now, t).is_some());
-    let thing = thing.unwrap();
-    let keeper = seen.owner_of(now, &thing).unwrap();
-    seen.on_unreachable(now, keeper);
-    assert_ne!(seen.owner_of(now, &thing), Some(keeper));
-    net.run(GONE_AFTER);
+    let key = (0..).map(|n| format!("claims/{n}"));
+    let key = key.into_iter().find(|t| seen.owner_of(now, t).is_some());
+    let key = key.unwrap();
+    let owner = seen.owner_of(now, &key).unwrap();
+    seen.on_unreachable(now, owner);
+    assert_ne!(seen.owner_of(now, &key), Some(owner));
+    net.run(MAX_DETECTION_TIME);
     let seen = &net.routers[&0].peers;
-    assert_eq!(seen.owner_of(net.now, &thing), Some(keeper));
+    assert_eq!(seen.owner_of(net.now, &key), Some(owner));
 }
 
 /// Counts are sent every 354 ms in a fleet of 295. If prompt hints waited for them in each hub as well, a
@@ -484,21 +494,21 @@
 #[case::small(7, 100, 1)]
 #[case::grown(85, 102, 1)]
 #[case::large(295, 354, 4)]
-#[case::of_letter_1(380, 456, 5)]
+#[case::design_size(380, 456, 5)]
 fn hints_go_ahead_of_counts_where_those_are_told_slowly(
     #[case] routers: u32,
     #[case] all_every_ms: u128,
-    #[case] tellings: usize,
+    #[case] sends: usize,
 ) {
-    let mut pace = SendSchedule::default();
+    let mut schedule = SendSchedule::default();
     for _ in 0..3 {
-        let round: Vec<_> = (0..tellings).map(|_| pace.next(routers)).collect();
+        let round: Vec<_> = (0..sends).map(|_| schedule.next(routers)).collect();
         let (last, before) = round.split_last().unwrap();
         assert_eq!(last.1, SendContent::All);
         assert!(
             before
                 .iter()
-                .all(|(_, telling)| *telling == SendContent::Hints)
+                .all(|(_, content)| *content == SendContent::Hints)
         );
         let whole: Duration = round.iter().map(|(pause, _)| *pause).sum();
         assert_eq!(whole.as_millis(), all_every_ms);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -35,7 +35,7 @@
 const ROUTERS: usize = 7;
 
 /// Interval between updates that routers send one another, in milliseconds, as in `membership::timing`.
-const TELL_MS: u64 = 100;
+const SEND_INTERVAL_MS: u64 = 100;
 
 /// Time at the start of a trace in which caches fill and nothing is measured, in milliseconds.
 const WARM_UP_MS: u64 = 20_000;
@@ -63,7 +63,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     routers: Vec<Dispatcher>,
     engines: Vec<Engine>,
     /// Prompt of each chat so far, as parts.
@@ -110,7 +110,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(engines: usize, cache_tokens: u64, token_us: u64, prefill_us: u64) -> Self {
         let router = |_| {
             let mut d = Dispatcher::new("hall".parse().unwrap(), &rules());
@@ -149,7 +149,7 @@
             last.tokens += Tokens(*answer);
         }
         self.answers.insert(r.conversation, r.answer);
-        let said: u64 = chat.iter().map(|p| p.tokens.0).sum();
+        let prompt_tokens: u64 = chat.iter().map(|p| p.tokens.0).sum();
         if r.reusable <= r.shared || chat.is_empty() {
             // The chat starts, or starts over.
             *chat = vec![part(id(r.account, 0), r.shared)];
@@ -159,7 +159,7 @@
             let turn = chat.len() as u64;
             let new = part(
                 id(r.conversation + 1, r.t_ms + turn),
-                r.prompt.saturating_sub(said),
+                r.prompt.saturating_sub(prompt_tokens),
             );
             chat.push(new);
         }
@@ -214,7 +214,7 @@
     }
 
     /// Runs the replay from one time to another: ends calls, sends updates and samples the engines.
-    fn go_on(&mut self, from_ms: u64, to_ms: u64) {
+    fn run(&mut self, from_ms: u64, to_ms: u64) {
         for ms in from_ms..to_ms {
             while self.ends.peek().is_some_and(|Reverse((end, _))| *end <= ms) {
                 let Reverse((_, n)) = self.ends.pop().unwrap();
@@ -223,14 +223,14 @@
                 self.routers[router].on_end(now, &ticket, Some(Outcome::Good));
                 self.engines[e].running -= 1;
             }
-            if ms % TELL_MS == 0 {
-                self.tell(Instant::from_millis(ms));
+            if ms % SEND_INTERVAL_MS == 0 {
+                self.send_updates(Instant::from_millis(ms));
                 self.sample(ms);
             }
         }
     }
 
-    fn tell(&mut self, now: Instant) {
+    fn send_updates(&mut self, now: Instant) {
         for (router, _, ticket) in self.running.values() {
             // Calls in progress produce tokens all the time.
             self.routers[*router]
@@ -279,7 +279,7 @@
     fn on_engine(&mut self, t_ms: u64, n: usize, joins: bool) {
         self.revision += 1;
         let capacity = self.engines[n].capacity;
-        self.engines[n].forget();
+        self.engines[n].clear();
         assert!(capacity > 0);
         let change = match joins {
             true => ListChange::Put(record(n, TargetState::Ready)),
@@ -311,7 +311,7 @@
     else {
         panic!("the first line tells of the fleet");
     };
-    let mut world = World::new(engines, cache_tokens, token_us, prefill_us);
+    let mut simulation = Simulation::new(engines, cache_tokens, token_us, prefill_us);
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut now = 0;
     for (n, line) in lines.enumerate() {
@@ -320,16 +320,16 @@
             Line::Leave { t_ms, .. } | Line::Join { t_ms, .. } => *t_ms,
             Line::Fleet { .. } => panic!("only the first line tells of the fleet"),
         };
-        world.go_on(now, t_ms);
+        simulation.run(now, t_ms);
         now = t_ms;
         match line {
-            Line::Request(r) => world.on_request(n as u64, rng.random_range(0..ROUTERS), &r),
-            Line::Leave { engine, .. } => world.on_engine(t_ms, engine, false),
-            Line::Join { engine, .. } => world.on_engine(t_ms, engine, true),
+            Line::Request(r) => simulation.on_request(n as u64, rng.random_range(0..ROUTERS), &r),
+            Line::Leave { engine, .. } => simulation.on_engine(t_ms, engine, false),
+            Line::Join { engine, .. } => simulation.on_engine(t_ms, engine, true),
             Line::Fleet { .. } => {}
         }
     }
-    world.figures
+    simulation.figures
 }
 
 /// Checks the fraction of reusable tokens that are reused, the maximum ratio of an engine's calls to the
--- a/tests/replay/trace.rs
+++ b/tests/replay/trace.rs
@@ -40,7 +40,7 @@
 pub struct Engine {
     cache: LruCache<PartId, u64>,
     /// Number of tokens in the cache.
-    held: u64,
+    cached_tokens: u64,
     /// Maximum number of tokens in the cache.
     pub capacity: u64,
     pub running: u32,
@@ -50,16 +50,16 @@
     pub fn new(capacity: u64) -> Self {
         Self {
             cache: LruCache::unbounded(),
-            held: 0,
+            cached_tokens: 0,
             capacity,
             running: 0,
         }
     }
 
     /// Clears the cache.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.cache.clear();
-        self.held = 0;
+        self.cached_tokens = 0;
     }
 
     /// Adds a prompt to the cache and returns the number of tokens of its leading parts that were cached.
@@ -71,12 +71,12 @@
         for part in prompt {
             let tokens = part.tokens.0;
             if self.cache.put(part.id, tokens).is_none() {
-                self.held += tokens;
+                self.cached_tokens += tokens;
             }
         }
-        while self.held > self.capacity {
+        while self.cached_tokens > self.capacity {
             let (_, tokens) = self.cache.pop_lru().expect("what is held is cached");
-            self.held -= tokens;
+            self.cached_tokens -= tokens;
         }
         cached
     }
