--- a/tests/load/cold_targets.rs
+++ b/tests/load/cold_targets.rs
@@ -111,7 +111,8 @@
 }
 
 /// Routers that have just started know no other router. They send cold engines no calls while others are
-/// warm; if all engines were cold, they would get all calls.
+/// warm. If all engines were cold, each router would use the whole limit alone, and they would get all
+/// routers' calls.
 #[test]
 fn routers_that_know_of_no_other_leave_cold_engines_alone_where_others_are_warm() {
     let change = Change {
--- a/tests/load/lock_out.rs
+++ b/tests/load/lock_out.rs
@@ -59,7 +59,7 @@
     assert!(in_time > 0.97, "{in_time} in time");
 }
 
-/// Calls that hang at a cut-off target tell nothing about the other targets, which have capacity for all
+/// Calls that hang at a cut-off target indicate nothing about the other targets, which have capacity for all
 /// calls. With 295 and 380 routers, 0.22 to 0.48 of the calls of the third second were refused.
 #[rstest]
 fn calls_that_hang_at_one_target_keep_none_from_the_others(
--- a/tests/load/model/crashes.rs
+++ b/tests/load/model/crashes.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Sends crash notices among the routers that are not suspended, and tells them the stored quarantines.
+    /// Sends crash notices among the routers that are not suspended, and passes them the stored quarantines.
     pub(super) fn exchange_crash_notices(&mut self) {
         let (now, active_routers) = (self.now, self.active_routers());
         let notices = self.routers[active_routers.clone()]
--- a/tests/load/withdrawals.rs
+++ b/tests/load/withdrawals.rs
@@ -71,7 +71,8 @@
     })
 }
 
-/// Seconds of the run by which most targets have asked all routers for a backoff.
+/// Seconds of the run whose first tries are checked: by then, most targets have asked all routers for a
+/// backoff.
 const FIRST_TRIES: std::ops::Range<usize> = 5..7;
 /// Maximum fraction of refused callers that are refused again: most callers that get the backoff from one of
 /// the routers are served at their retry.
--- a/tests/replay/trace.rs
+++ b/tests/replay/trace.rs
@@ -4,7 +4,7 @@
 use scaleford::prompt_cache::{PartId, PromptPart};
 use serde::Deserialize;
 
-/// One line of a trace; docs/TRACE.md tells of the fields.
+/// One line of a trace: the fleet, a request, or an engine that leaves or joins.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Line {
