--- a/tests/load/model.rs
+++ b/tests/load/model.rs
@@ -74,7 +74,7 @@
 enum Event {
     CallArrives,
     CallRetries(Call),
-    FirstEvent(u64),
+    AnswerStarts(u64),
     CallEnds(u64),
     DeadlinePassed(u64),
     SendUpdates,
@@ -181,7 +181,7 @@
         match event {
             Event::CallArrives => self.on_arrival(),
             Event::CallRetries(call) => self.on_call(call),
-            Event::FirstEvent(n) => self.on_first_event(n),
+            Event::AnswerStarts(n) => self.on_first_event(n),
             Event::CallEnds(n) => self.on_end(n),
             Event::DeadlinePassed(n) => self.on_deadline(n),
             Event::SendUpdates => self.on_send_updates(),
@@ -344,7 +344,7 @@
     }
 
     fn begin(&mut self, run: Run) {
-        self.after(run.to_first_event, Event::FirstEvent(run.call));
+        self.after(run.to_first_event, Event::AnswerStarts(run.call));
     }
 
     fn on_first_event(&mut self, n: u64) {
