--- a/tests/load/model/crashes.rs
+++ b/tests/load/model/crashes.rs
@@ -75,7 +75,7 @@
         self.on_call(call);
     }
 
-    /// Returns the routers that are not suspended now: they take calls and receive updates.
+    /// Returns the routers that are not suspended now: they take calls and exchange crash notices.
     pub(super) fn active_routers(&self) -> Range<usize> {
         let suspended = self.load.crashes.map_or(0, |c| {
             let since = self.now.0.checked_sub(c.suspended_from);
--- a/tests/load/model/withdrawals.rs
+++ b/tests/load/model/withdrawals.rs
@@ -47,7 +47,7 @@
     at: Instant,
     /// When the backoff ends; `None` for a target that leaves.
     until: Option<Instant>,
-    /// Number of calls that the router sent to the target within the backoff.
+    /// Number of calls that the router sent to the target within the backoff, after `BACKOFF_GRACE`.
     sent: usize,
 }
 
