--- a/tests/boundary.rs
+++ b/tests/boundary.rs
@@ -1,9 +1,9 @@
-//! Only `platform/` knows what the users' platform calls things, and nothing in the library's
-//! sources may come to depend on it.
+//! Checks that the names of the users' platform occur only in `platform/`, so that the library's
+//! sources do not come to depend on that platform.
 
 use std::{fs, path::Path};
 
-/// Names of the platform's headers, calls, keys and fields that have no meaning of their own.
+/// Names of the platform's headers, calls, keys and fields that are not general terms.
 const PLATFORM_NAMES: [&str; 24] = [
     "x-attempt-id",
     "x-deadline-ms",
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -1,4 +1,5 @@
-//! The callers' side: every fault has its code, and whole sessions read as they did before.
+//! The interface for callers: every error has its result code, and complete sessions match their
+//! snapshot.
 
 mod support;
 
@@ -34,7 +35,7 @@
     .await
 }
 
-/// An answer without what differs from run to run.
+/// Returns an outcome without the parts that differ from run to run.
 fn redacted(outcome: &Outcome) -> Value {
     let text = outcome.text.replace(&outcome.request, "[request]");
     let body: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
@@ -89,7 +90,7 @@
     );
 }
 
-/// Sends bytes, closes the sending side if asked to, and reads to the end.
+/// Sends `text`, closes the sending side if `close` is set, and reads the answer to its end.
 async fn raw(at: std::net::SocketAddr, text: &str, close: bool) -> String {
     let mut socket = TcpStream::connect(at).await.unwrap();
     socket.write_all(text.as_bytes()).await.unwrap();
@@ -149,7 +150,7 @@
             .caller
             .call(at, Method::POST, &path, &headers, "12")
             .await;
-        // The outcome of the first call is recorded a moment after its answer.
+        // The router records the outcome of the first call shortly after it has sent the answer.
         while outcome.code == 5002 {
             outcome = fleet
                 .caller
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What must always hold of operators' changes, under failures of the store.
+//! Guarantees for operators' changes while the store fails.
 
 mod support;
 
@@ -16,7 +16,7 @@
     store::StoreFault,
 };
 
-/// Waits until something holds, however long that takes.
+/// Waits until `holds` returns true, without a time limit.
 async fn until<F: AsyncFnMut() -> bool>(mut holds: F) {
     while !holds().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -138,7 +138,7 @@
     fleet.store.set_back(old);
     until(async || fleet.live().any(|r| r.reverts_refused() > 0)).await;
     assert!(fleet.live().all(|r| r.revision().0 == newest));
-    // What the store lost is written back, and changes go on from there.
+    // The routers write back what the store lost, and later changes continue from there.
     let next = fleet.change("next", vec![account_edit("next", 1)]).await;
     assert_eq!(next, newest + 1);
     let kept = || fleet.store.keys_below(CHANGE_PREFIX).len() as u64;
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,4 +1,5 @@
-//! The clock that rules hang on, beside suspensions and readings that lie apart.
+//! The clock for ages, leases and deadlines, when the VM is suspended and when the two underlying
+//! clocks are read at different moments.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -24,7 +25,8 @@
     tokio::time::advance(SECOND).await;
     suspended.set(8 * SECOND);
     assert_eq!(clock.now(), Instant(4 * SECOND));
-    // The two clocks are read one after the other, with a pause between.
+    // The two underlying clocks are read one after the other, with a pause in between, so the
+    // computed suspended time can decrease.
     suspended.set(7 * SECOND);
     assert_eq!(clock.now(), Instant(4 * SECOND));
     suspended.set(9 * SECOND);
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,4 +1,4 @@
-//! The operators' command before a fleet.
+//! The operators' command, run against a fleet.
 
 mod support;
 
@@ -49,7 +49,7 @@
     assert_eq!(run(COMMAND, &["status"]).status.code(), Some(2));
 }
 
-/// A file of its own for a test, gone at its end.
+/// A temporary file of a test, removed when dropped.
 struct Scratch(std::path::PathBuf);
 
 impl Scratch {
--- a/tests/crashing_calls.rs
+++ b/tests/crashing_calls.rs
@@ -1,4 +1,4 @@
-//! Requests that end each target that begins to run them.
+//! Requests that crash each target that starts to run them.
 
 mod support;
 
@@ -13,20 +13,22 @@
     store::StoreFault,
 };
 
-/// What ends an engine that reads it.
+/// Text that crashes each engine that starts to run a request with it.
 const CRASHES: &str = "the lot that nobody can describe";
 
-/// What the keys of requests that are held back begin with.
+/// Prefix of the store keys of quarantined requests.
 const HELD: &str = "scaleford/held/";
 
-/// Targets that one request may end in all: three, and three more before all routers know.
+/// Maximum number of engines that one request may crash: three until it is quarantined, and three
+/// more until all routers know of the crashes.
 const ENDED_AT_MOST: usize = 6;
 
 fn question(text: &str) -> Value {
     chat_body(MODEL, &[("user", text.to_owned())], 6, true)
 }
 
-/// Waits until each router has told the others twice what it knows; one alone has nobody to tell.
+/// Waits until each router has sent its updates to its peers twice. A single router has no peers,
+/// so there is nothing to wait for.
 async fn until_told(fleet: &Fleet) {
     let rounds = if fleet.live().count() > 1 { 2 } else { 0 };
     for _ in 0..rounds {
@@ -38,7 +40,7 @@
     }
 }
 
-/// Sends a request that ends engines until its entry is in the store.
+/// Sends a request that crashes engines until its quarantine entry is in the store.
 async fn until_entered(fleet: &Fleet) {
     let fault = Fault::EndOn(CRASHES);
     fleet.engines.iter().for_each(|e| e.set_fault(fault));
@@ -49,12 +51,12 @@
     }
 }
 
-/// One request of a caller came back again and again, each time as a new call at any router, and ended
-/// each engine that began to run it: 20 engines in 14 seconds, of which up to five of nine were away
-/// at once, while calls beside it broke off with them and others found no room. Nothing in the fleet
-/// remembered what an engine had been running when it ended, so each return was sent on like a call
-/// that nobody had seen. The lines of the attempts settled it: all returns had `"attempts":1` and no line
-/// `repeat`, so no budget counted them, and came through all routers:
+/// A caller sent one request again and again, each time as a new call through any router, and it
+/// crashed each engine that started to run it: 20 engines in 14 seconds, of which up to five of
+/// nine were down at once. Other calls broke off with these engines or found no capacity. No router
+/// recorded what an engine was running when it crashed, so each new call was forwarded as if it had
+/// never been seen. The calls came through all routers, and no retry budget counted them: the log
+/// lines of all their attempts had `"attempts":1`, with no line `repeat`. They ended as
 /// `"outcome":"answer broke off","took_ms":136,"shared_part":17266171159491` at 17 targets in turn.
 #[rstest]
 #[case::one_router(1)]
@@ -92,8 +94,8 @@
     assert!(held_back.retry_after);
 }
 
-/// What is held back outlasts all routers, as it stands in the store: without that each start of the fleet would cost three
-/// more engines.
+/// Quarantined requests are stored and so survive a stop of all routers. Without that, each start
+/// of the fleet would crash three more engines.
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_that_start_hold_back_what_is_entered_in_the_store() {
     let plan = Plan {
@@ -132,7 +134,7 @@
         );
     }
     assert_eq!(ended(&fleet), before);
-    // An operator who has mended what ended them removes the entry.
+    // An operator who has fixed the cause of the crashes removes the entry.
     fleet.engines.iter().for_each(|e| e.set_fault(Fault::None));
     for key in fleet.store.keys_below(HELD) {
         fleet.store.remove(&key);
@@ -148,10 +150,12 @@
     assert!(answers.iter().all(|status| [200, 503].contains(status)));
 }
 
-/// A request was held back while the store was away, so that no entry could be written; four of seven routers were killed and started again, got
-/// all that the store had held from peers, and sent the request on: four targets more ended in 2.7 s, though three routers that lived
-/// held it back all the while. Notices of endings go for 1.5 s, and what is held back had no way but the store. The log lines of those that lived:
-/// `"msg":"held request not entered"`, every 0.8 s.
+/// A request was quarantined while the store was unavailable, so no entry could be written. Four of
+/// seven routers were killed and started again. They got the store's entries from their peers but
+/// not the quarantine, and forwarded the request: four more targets crashed in 2.7 s, although the
+/// three surviving routers kept it quarantined. Crash notices are sent for 1.5 s only, and the
+/// quarantine spread through the store alone. Every 0.8 s, the surviving routers logged
+/// `"msg":"held request not entered"`.
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_that_start_while_the_store_is_away_hold_back_what_peers_do() {
     let plan = Plan {
@@ -177,7 +181,8 @@
     assert!(fleet.store.keys_below(HELD).is_empty());
     let ended = |fleet: &Fleet| fleet.engines.iter().filter(|e| e.has_ended()).count();
     let before = ended(&fleet);
-    // Endings are announced no more: routers that have no news tell one another every 0.4 s.
+    // Waits until crash notices are no longer sent: routers without updates send a datagram every
+    // 0.4 s.
     for _ in 0..3 {
         until_told(&fleet).await;
     }
@@ -197,14 +202,14 @@
     let answer = fleet.caller.chat(at, &question(CRASHES)).await;
     assert_eq!((answer.status, answer.code), (503, 3_010), "{answer:?}");
     assert_eq!(ended(&fleet), before);
-    // Once the store is back, an entry says so to whoever starts later.
+    // When the store is available again, an entry is written for routers that start later.
     fleet.store.set_fault(StoreFault::default());
     while fleet.store.keys_below(HELD).is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The store came back from a copy in which the entry was not yet.
+/// The store was restored from a copy that was older than the quarantine entry and lacked it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_held_request_stands_in_a_store_that_was_set_back() {
     let plan = Plan {
--- a/tests/data_halls.rs
+++ b/tests/data_halls.rs
@@ -1,4 +1,5 @@
-//! Data halls that operators evacuate and take back through the product's own interface.
+//! Data halls that operators evacuate and put back into service through the product's own
+//! interface.
 
 mod support;
 
@@ -8,7 +9,7 @@
     fleet::{Fleet, MODEL, Plan, status},
 };
 
-/// The hall of all engines, by their ids' length.
+/// Data hall of all engines, which follows from the length of their ids.
 const HALL: &str = "hall-2";
 
 async fn ask(fleet: &Fleet, router: usize, text: &str) -> Outcome {
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -1,4 +1,4 @@
-//! Who asks whom for what is new in the store, at the size of whole fleets.
+//! Which router asks which other one for changes in the store, in fleets of full size.
 
 use std::{
     collections::BTreeMap,
@@ -19,10 +19,11 @@
     units::{Instant, StoreRevision},
 };
 
-/// When all routers know one another.
+/// Instant at which all routers know one another.
 const SETTLED: Instant = Instant(Duration::from_secs(20));
 
-/// The most that one router may feed: it sends each list as often over its link.
+/// Maximum number of routers that one router may feed, as it sends each list once per fed router
+/// over its link.
 const FED_MOST: usize = 64;
 
 fn vm(n: usize) -> VmId {
@@ -34,7 +35,7 @@
     SocketAddr::new(IpAddr::V4(ip), 7340)
 }
 
-/// One in nineteen bears much, as the users' strong VMs do.
+/// Returns the capacity of a VM. One in nineteen is as strong as the users' strong VMs.
 fn strength(n: usize) -> CapacityClass {
     match n % 19 {
         0 => CapacityClass::new(200.0, 0.5),
@@ -53,7 +54,7 @@
     }
 }
 
-/// A datagram of one router with a step of a comparison.
+/// Returns a datagram of one router with a step of a comparison of member records.
 fn datagram_with(from: usize, routers: usize, exchange: Exchange) -> Datagram {
     let sender = record(from);
     Datagram {
@@ -88,7 +89,7 @@
     Peers::new(own.vm, own.hall, own.capacity, life, own.address, seeds)
 }
 
-/// Each router of a fleet, with all others known to it.
+/// Returns the routers of a fleet, each of which knows all others.
 fn fleet(n: usize) -> Vec<Peers> {
     let all: Vec<MemberRecord> = (0..n).map(record).collect();
     let told = datagram_with(0, n, Exchange::Records(all));
@@ -107,15 +108,16 @@
     }
 }
 
-/// What each router of a fleet asks.
+/// Returns the source that each router of a fleet asks next.
 fn asked(fleet: &[Peers]) -> Vec<NextRead> {
     let now = SETTLED + Duration::from_secs(1);
     fleet.iter().map(|p| p.next_read(now, &listed())).collect()
 }
 
-/// Three readers fed all: 985 routers before 10,000 targets made 13,900 calls to the store in a calm day and had a configuration five
-/// seconds after its change, or never. The log lines `reader does not answer` and, at the routers that refused keys, `call` with
-/// `config_too_old` settled it.
+/// Three readers fed all other routers: 985 routers with 10,000 targets made 13,900 calls to the
+/// store on a calm day, and received a configuration five seconds after its change, or never. The
+/// log had the lines `reader does not answer` and, at the routers that refused keys, `call` with
+/// `config_too_old`.
 #[rstest]
 #[case::the_size_to_design_for(380)]
 #[case::the_whole_fleet(985)]
@@ -143,7 +145,7 @@
     assert!(*most <= FED_MOST, "one feeds {most} others");
 }
 
-/// Strong VMs feed, where there are enough of them.
+/// If there are enough strong VMs, only they feed other routers.
 #[test]
 fn thin_vms_feed_nobody_beside_strong_ones() {
     let asked = asked(&fleet(985));
@@ -155,7 +157,8 @@
     }
 }
 
-/// Where nobody that a router may ask has anything recent, it asks each once and then the store, and comes back to them.
+/// If none of the routers that it may ask has anything recent, a router asks each of them once,
+/// then the store, and returns to them later.
 #[test]
 fn a_router_whose_feeders_have_nothing_recent_goes_to_the_store_and_comes_back() {
     let mut fleet = fleet(985);
@@ -176,8 +179,9 @@
     assert_eq!(peers.next_read(later, &listed()), first);
 }
 
-/// A router of a fleet that starts again knows nobody at first. Had it listed the store at once, as it does in a small fleet, 985 routers
-/// would call for fifty pages each; 300 took 30 s to serve again.
+/// A router that is started again in a running fleet knows no other router at first. If it listed
+/// the store at once, as in a small fleet, 985 routers would request fifty pages each; 300 routers
+/// took 30 s until they served again.
 #[test]
 fn a_router_of_a_large_fleet_that_starts_again_finds_the_others_before_it_reads() {
     let mut peers = alone(7, &[address(0)]);
@@ -199,13 +203,13 @@
     assert_eq!(peers.next_read(at(900), &state), NextRead::Wait);
     let next = peers.next_read(at(1_400), &state);
     assert!(matches!(next, NextRead::Ask(_)), "{next:?}");
-    // One that nobody answers reads by itself.
+    // A router that gets no answer from its peers reads the store itself.
     let unanswered = alone(7, &[address(0)]);
     assert_eq!(unanswered.next_read(at(300), &state), NextRead::Store);
 }
 
-/// A mirror remembered 8,192 removals, and a fleet has 10,000 targets: where all lapsed and came back, each router that lagged was sent all
-/// entries each time.
+/// A mirror remembered 8,192 removals, but a fleet has 10,000 targets: when all of them expired and
+/// came back, each router that lagged behind was sent all entries each time.
 #[test]
 fn a_mirror_remembers_as_many_removals_as_it_had_entries() {
     let targets = 20_000;
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Who lives, who reads the store and who adds up counts, in virtual time.
+//! Which routers are alive, read the store and aggregate counts, in virtual time.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -70,7 +70,7 @@
     peers.on_datagram(now, address(from), told)
 }
 
-/// A fleet of `n` routers, as each of them sees it when all were heard at `now`.
+/// Returns the views of `n` routers, each of which received a datagram from all others at `now`.
 fn fleet(n: usize, now: Instant) -> Vec<Peers> {
     (0..n)
         .map(|me| {
@@ -83,8 +83,8 @@
         .collect()
 }
 
-/// Sapporo trouble-2: each datagram of a router that stopped counted as a join, and it was sent
-/// all prompts each time: 0.1 GB in twelve seconds.
+/// Each datagram of a router that was stopping counted as a join, so it was sent all prompts each
+/// time: 0.1 GB in twelve seconds.
 #[test]
 fn a_peer_that_stops_does_not_join_again() {
     let mut seen = peers(0);
@@ -169,8 +169,8 @@
     );
 }
 
-/// Grown puente scale-2: when the store turned all named readers away, each of the others read it
-/// once, and then they asked one another for three seconds while targets left.
+/// When the store rejected all designated readers, each of the other routers read it once, and then
+/// they only asked one another for three seconds, while targets left.
 #[test]
 fn where_no_named_reader_has_word_a_few_of_the_others_go_on_reading() {
     let n = 12;
@@ -197,8 +197,8 @@
     assert!(asked.iter().all(|a| standing_in.contains(a)), "{asked:?}");
 }
 
-/// Grown puente, a hunted scale-2: after the store had answered nobody, the readers had word again
-/// at once, and the others slept through it for up to two seconds.
+/// When the store answered again after an outage, the readers got answers at once, but the other
+/// routers kept waiting for up to two seconds.
 #[test]
 fn a_router_that_waits_for_the_store_asks_a_reader_as_soon_as_one_has_word() {
     let n = 12;
@@ -224,8 +224,8 @@
     assert_eq!(next, NextRead::Ask(address(reader)));
 }
 
-/// Grown sapporo quiet-1: 793 of the day's 988 calls to the store were made before its traffic began,
-/// by 85 routers that each took itself for a reader before it had heard of the others.
+/// Of the day's 988 calls to the store, 793 were made before its traffic began, by 85 routers that
+/// each considered itself a reader before it had received a datagram from the others.
 #[test]
 fn a_router_of_a_fleet_that_starts_for_the_first_time_finds_the_others_before_it_reads() {
     let alone = peers(0);
@@ -235,7 +235,7 @@
     };
     assert_eq!(alone.next_read(at(100), &first), NextRead::Wait);
     assert_eq!(alone.next_read(at(1_000), &first), NextRead::Store);
-    // Where others may wait for it, a router that starts reads at once.
+    // If others may be waiting for it, a router that starts reads the store at once.
     let later = ReadState::default();
     assert_eq!(alone.next_read(at(100), &later), NextRead::Store);
 }
@@ -249,7 +249,7 @@
     };
     let first = adding(&fleet, at(100));
     assert_eq!(first.len(), 3, "one a hall: {first:?}");
-    // All but the first ones are heard again.
+    // Every router but the first aggregators sends another datagram.
     for (me, seen) in fleet.iter_mut().enumerate() {
         for other in (0..n).filter(|o| *o != me && !first.contains(o)) {
             hear(seen, at(1_000), &datagram(other, 2));
@@ -267,13 +267,13 @@
         let now = at(100);
         let other = fleet.iter().find(|p| !p.is_aggregator(now)).unwrap();
         let told = other.frequent_receivers(now).len() as f64 / send_interval(n).as_secs_f64();
-        // A comparison takes four datagrams at the most.
+        // A comparison of member records takes at most four datagrams.
         let compared = 4.0 / other.compare_interval(at(10_000)).as_secs_f64();
         told + compared
     };
     assert!(sent_a_second(200) < 45.0);
     assert!(sent_a_second(200) < sent_a_second(100) * 1.1);
-    // Only the router that adds up for a hall sends to many others as counts change.
+    // Only the aggregator of a data hall sends to many others when counts change.
     let large = fleet(90, at(0));
     let close = large
         .iter()
@@ -308,7 +308,7 @@
     assert_eq!(seen.live_count(at(4_000)), 1);
 }
 
-/// Grown sapporo trouble-1: readers with thin links took seconds to tell a configuration on.
+/// Readers with slow links took seconds to forward a configuration.
 #[test]
 fn the_stronger_routers_read_the_store_and_add_up() {
     let n = 30;
@@ -347,8 +347,8 @@
     assert!(adding.iter().all(|i| i % 5 == 0), "{adding:?}");
 }
 
-/// Large sapporo, trouble-3: 295 routers called a store that was down for 8 s every 1.5 s each, half of the
-/// day's calls.
+/// While the store was down for 8 s, each of 295 routers called it every 1.5 s: half of the day's
+/// calls.
 #[rstest]
 #[case::small(7, 1_500)]
 #[case::grown(85, 4_250)]
@@ -365,8 +365,9 @@
     assert_eq!(pause, Duration::from_millis(pause_ms));
 }
 
-/// A VM whose time of day was set back names its next life by an earlier moment: its peers took it
-/// for the old one and passed it over for a minute.
+/// The incarnation is derived from the time of day. A VM whose clock was set back therefore started
+/// its next incarnation with a lower number, and its peers took it for the old one and ignored it
+/// for a minute.
 #[test]
 fn a_new_life_joins_also_after_its_clock_was_set_back() {
     let mut seen = peers(0);
@@ -375,20 +376,22 @@
     hear(&mut seen, at(0), &old);
     let mut reborn = datagram(1, 1);
     reborn.sent.incarnation = Incarnation(5_000);
-    // One of the old life's datagrams may still be on its way, so the new one waits a moment.
+    // Datagrams of the old incarnation may still be in transit, so the new one is accepted after a
+    // delay.
     assert_eq!(hear(&mut seen, at(100), &reborn), DatagramEffect::Outdated);
     reborn.number = 2;
     assert_eq!(hear(&mut seen, at(1_100), &reborn), DatagramEffect::Joined);
-    // A late datagram of the old life takes nothing back.
+    // A late datagram of the old incarnation does not undo the join.
     old.number = 10;
     assert_eq!(hear(&mut seen, at(1_200), &old), DatagramEffect::Outdated);
     reborn.number = 3;
     assert_eq!(hear(&mut seen, at(1_300), &reborn), DatagramEffect::Known);
 }
 
-/// A router whose VM stood still for ten seconds took all its peers for dead when it went on, as it had heard of none: until their next
-/// datagrams it had the whole fleet's budget of repeats and looked after everything alone. Found by reading; this test settled it: 1 of 7 routers
-/// was alive to it.
+/// A router whose VM was suspended for ten seconds had received no datagrams in that time, so it
+/// considered all its peers dead when it resumed: 1 of 7 routers was alive to it. Until it
+/// received their next datagrams, it used the retry budget of the whole fleet and took over all
+/// duties alone.
 #[test]
 fn a_router_that_was_absent_does_not_take_its_peers_for_dead() {
     let mut seen = fleet(7, at(0)).swap_remove(0);
@@ -400,7 +403,7 @@
     seen.on_tick(at(gone_on));
     assert_eq!(seen.live_count(at(gone_on)), 7);
     assert!(seen.call_share(at(gone_on), 10) < 0.6);
-    // Those that it hears nothing of then are dead as ever.
+    // Peers that stay silent after the suspension are considered dead as usual.
     hear(&mut seen, at(gone_on + 50), &datagram(1, 2));
     for ms in (gone_on..gone_on + 900).step_by(tick) {
         seen.on_tick(at(ms));
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -1,4 +1,4 @@
-//! What must always hold, under the failures that the users name.
+//! Guarantees for callers, under the failures that the users name.
 
 mod support;
 
@@ -15,7 +15,7 @@
     store::StoreFault,
 };
 
-/// Waits until something holds, however long that takes.
+/// Waits until `holds` returns true, without a time limit.
 async fn until<F: AsyncFnMut() -> bool>(mut holds: F) {
     while !holds().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -41,7 +41,7 @@
     fleet.services.iter().filter_map(count).sum()
 }
 
-/// How often engines ran any attempt of a request.
+/// Returns how often engines ran any attempt of a request.
 fn runs(fleet: &Fleet, request: &str) -> u32 {
     let of_engine = |e: &support::engine::Engine| -> u32 {
         let state = e.state.lock().unwrap();
@@ -73,7 +73,7 @@
             200 if !outcome.cut => assert_eq!(outcome.text, right),
             200 => assert!(right.starts_with(&outcome.text), "{outcome:?}"),
             _ if outcome.ran == "no" => assert_eq!(runs(&fleet, &outcome.request), 0),
-            // Where an engine dies, its answer's head may be lost with it.
+            // If an engine crashes, the head of its answer may be lost as well.
             _ => {
                 assert_eq!(outcome.ran, "unknown", "{outcome:?}");
                 assert!(
@@ -115,7 +115,7 @@
     assert_eq!(executions(&fleet, "bid-2"), 1);
 }
 
-/// Claims were lost with the store, and a call that had run ran again.
+/// Claims were lost when the store was reverted, and a call that had already run was run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_ran_runs_no_second_time_after_the_store_was_set_back() {
     let fleet = Fleet::start(Plan::default()).await;
@@ -224,8 +224,8 @@
         })
         .collect();
     let started = |i: usize| fleet.engines[i].state.lock().unwrap().executed.len();
-    // All gates are closed: a chat that ended was refused, and one that began twice was repeated.
-    // Either would be waited for in vain.
+    // All gates are closed, so a chat that has ended was refused, and one that started twice was
+    // retried. In both cases the wait would never end.
     let begun = async || {
         let sum = (0..3).map(started).sum::<usize>();
         let ended = chats.iter().filter(|c| c.is_finished()).count();
@@ -258,7 +258,8 @@
 async fn a_planned_stop_cuts_nothing_off() {
     let mut fleet = Fleet::start(Plan::default()).await;
     fleet.engines.iter().for_each(|e| e.set_gate(false));
-    // Through every router, so that the one that stops is entry of some and home of others.
+    // Chats come through every router, so the stopping one received some of them and may own the
+    // account's shares for others.
     let chats: Vec<_> = (0..30)
         .map(|i| {
             let body = question(&format!("stop {i}"), true);
@@ -277,7 +278,7 @@
     let at = stopping.addresses().callers;
     let stop = tokio::spawn(stopping.stop());
     let others = [fleet.callers_at(1), fleet.callers_at(2)];
-    // New work goes on at the others while the stop waits.
+    // The other routers take new calls while the stop waits.
     fleet.engines.iter().for_each(|e| e.set_gate(true));
     for i in 0..20 {
         let body = question(&format!("meanwhile {i}"), true);
@@ -363,7 +364,8 @@
             .send(fleet.callers_at(i), Method::POST, path, &[], body.clone())
             .await;
         let outcome = finish(res.unwrap()).await;
-        // Where the engine's head was lost with the rest, nobody can know whether it ran.
+        // If the head of the engine's answer was lost as well, the router cannot know whether the
+        // request ran.
         assert!(outcome.cut || outcome.ran == "unknown", "{outcome:?}");
         assert!(
             !outcome
--- a/tests/support/caller.rs
+++ b/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that reads whole answers and notes how they ended.
+//! A caller that reads complete answers and records how they ended.
 
 use std::net::SocketAddr;
 
@@ -20,17 +20,18 @@
     pub key: String,
 }
 
-/// How a call ended.
+/// Outcome of a call, as its caller sees it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Outcome {
-    /// The status; 0 where no head came.
+    /// HTTP status, or 0 if no response head arrived.
     pub status: u16,
-    /// The number of the result code, 0 for none.
+    /// Number of the result code, or 0 if there is none.
     pub code: u16,
-    /// Whether our error says that the request did not run.
+    /// Whether the request ran, as the router's error states it (`no` if it did not run); empty
+    /// without an error.
     pub ran: String,
     pub request: String,
-    /// The words of a chat's answer, or the body.
+    /// Text of a chat's answer, or the body of any other answer.
     pub text: String,
     pub cut: bool,
     pub finished: bool,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads an answer to its end and returns the outcome of its call.
 pub async fn finish(res: Response<Incoming>) -> Outcome {
     let header = |name: &str| {
         let value = res.headers().get(name).and_then(|v| v.to_str().ok());
@@ -175,7 +176,7 @@
     outcome.cached_tokens += cached.as_u64().unwrap_or(0);
 }
 
-/// A chat's request.
+/// Returns the body of a chat request.
 pub fn chat_body(model: &str, messages: &[(&str, String)], max_tokens: u64, stream: bool) -> Value {
     let messages: Vec<_> = messages
         .iter()
--- a/tests/support/engine.rs
+++ b/tests/support/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a model engine: OpenAI-shaped, with tokens that follow from the request alone,
-//! continuous batching by a rate, and a prefix cache of limited size.
+//! A simulated model engine with an OpenAI-compatible API, tokens that depend only on the seed and
+//! the request, continuous batching modelled as a rate, and a prefix cache of limited size.
 
 use std::{
     collections::HashMap,
@@ -16,17 +16,17 @@
 
 use super::http::{self, Body, Server};
 
-/// Characters of a prompt that are cached together.
+/// Size of a block of a prompt that is cached as a unit, in bytes.
 const BLOCK: usize = 64;
 
 #[derive(Clone)]
 pub struct EngineConfig {
     pub seed: u64,
-    /// Prompt tokens that the cache holds.
+    /// Maximum number of prompt tokens in the cache.
     pub cache_tokens: usize,
-    /// Time for a token of an answer with a batch of one.
+    /// Base time per answer token; each running request adds an eighth of it.
     pub token_time: Duration,
-    /// Time for a prompt token that is not cached.
+    /// Time per prompt token that is not cached.
     pub prefill_time: Duration,
 }
 
@@ -41,31 +41,32 @@
     }
 }
 
-/// How the engine misbehaves.
+/// Ways in which the engine misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
     #[default]
     None,
-    /// Refuses, and says that it did not run.
+    /// Refuses requests and states that they did not run.
     Refuse,
-    /// The same, and wants nothing for so long.
+    /// Refuses in the same way, with this value of the header `retry-after`.
     RefuseFor(&'static str),
-    /// Says in each answer that it leaves.
+    /// Announces in each answer that it is leaving.
     Leave,
-    /// Runs, then closes without an answer.
+    /// Runs requests, then closes the connection without an answer.
     DieBefore,
-    /// Closes after this many tokens.
+    /// Closes the connection after this many events of a streamed answer.
     DieAfter(usize),
-    /// Takes requests and says nothing.
+    /// Runs requests and never answers.
     Hang,
-    /// Ends with all its connections when it begins to run a request whose body holds this text.
+    /// Stops and closes all connections when it starts to run a request whose messages contain this
+    /// text.
     EndOn(&'static str),
 }
 
 pub struct EngineState {
-    /// How often each attempt ran.
+    /// Number of executions by attempt id.
     pub executed: HashMap<String, u32>,
-    /// Attempts that were cancelled before their end.
+    /// Number of attempts that were cancelled before their end.
     pub cancelled: u32,
     pub running: u32,
     pub tokens: u64,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Whether a request has ended it.
+    /// Whether a request has crashed the engine.
     pub fn has_ended(&self) -> bool {
         *self.ended.borrow()
     }
@@ -138,13 +139,13 @@
         *self.fault.lock().unwrap() = fault;
     }
 
-    /// Holds answers after their first token while closed.
+    /// Opens or closes the gate; while it is closed, streamed answers stop after their first token.
     pub fn set_gate(&self, open: bool) {
         self.gate.send_replace(open);
     }
 }
 
-/// The words that the engine with this seed answers a request's body with.
+/// Returns the words with which an engine with this seed answers a request's body.
 pub fn expected(seed: u64, body: &Value) -> Vec<String> {
     let n = body["max_tokens"].as_u64().unwrap_or(16);
     let hash = xxh3_64_with_seed(body["messages"].to_string().as_bytes(), seed);
@@ -177,7 +178,7 @@
     }
 }
 
-/// Adds what the engine says of itself.
+/// Adds the headers with which the engine announces its withdrawal.
 fn named(mut res: Response<Body>, fault: Fault) -> Response<Body> {
     let headers = res.headers_mut();
     match fault {
@@ -188,7 +189,8 @@
     res
 }
 
-/// Counts an attempt as running; notes a cancel where it is dropped early.
+/// An attempt in progress. Dropping it ends the attempt, which counts as cancelled unless it is
+/// done.
 struct Running {
     state: Arc<Mutex<EngineState>>,
     tokens: u64,
@@ -271,7 +273,8 @@
     ))
 }
 
-/// Enters an attempt, and finds how much of its prompt is cached.
+/// Records the start of an attempt and returns the number of its prompt tokens and how many of them
+/// are cached.
 fn admit(cx: &Cx, attempt: &str, prompt: &str, answer: usize) -> (usize, usize) {
     let mut state = cx.state.lock().unwrap();
     *state.executed.entry(attempt.to_owned()).or_default() += 1;
@@ -295,7 +298,7 @@
     (prompt, cached)
 }
 
-/// Waits for a token's time; longer the more requests run.
+/// Waits for the time of one token, which grows with the number of running requests.
 async fn pace(cx: &Cx) {
     if cx.cfg.token_time > Duration::ZERO {
         let running = cx.state.lock().unwrap().running;
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small fleet in one process: routers, engines, services and the store.
+//! A complete small fleet in one process: routers, engines, services and the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,7 +17,7 @@
 pub const MODEL: &str = "lot-writer";
 pub const SERVICE: &str = "bid-desk";
 
-/// Settings from a list of names and values.
+/// Settings from a list of names and values, of which the last value of a name applies.
 pub struct Values(pub Vec<(String, String)>);
 
 impl Source for Values {
@@ -27,7 +27,7 @@
     }
 }
 
-/// What a fleet is made of.
+/// Size and settings of a fleet.
 #[derive(Clone)]
 pub struct Plan {
     pub routers: usize,
@@ -91,7 +91,7 @@
         fleet
     }
 
-    /// Starts a router on a VM of its own name.
+    /// Starts a router on a VM with a name of its own.
     pub async fn start_router(&mut self, i: usize) -> Hosted {
         self.started += 1;
         let mut values: Vec<(String, String)> = [
@@ -178,7 +178,8 @@
         edits
     }
 
-    /// Plans and confirms edits at the first live router; the revision that accepted them.
+    /// Plans and confirms edits at the first live router and returns the revision that accepted
+    /// them.
     pub async fn change(&self, reason: &str, edits: Vec<Value>) -> u64 {
         let at = self.live().next().expect("a router").addresses().operators;
         let (status, accepted) = change_at(at, reason, edits).await;
@@ -213,7 +214,7 @@
         true
     }
 
-    /// The other routers that one believes to live.
+    /// Returns the VMs of the other routers that `router` considers alive.
     pub async fn seen_by(&self, router: &Hosted) -> Vec<String> {
         let status = status(router.addresses().operators).await;
         let routers = status["routers"].as_array().cloned().unwrap_or_default();
--- a/tests/support/hosted.rs
+++ b/tests/support/hosted.rs
@@ -1,4 +1,4 @@
-//! A router on a thread of its own, so that killing it ends all it does at once.
+//! Runs a router on its own thread, so that killing it ends all of its tasks at once.
 
 use std::{net::SocketAddr, rc::Rc, thread::JoinHandle};
 
@@ -16,7 +16,7 @@
 
 type Question = Box<dyn FnOnce(&Gateway) + Send>;
 
-/// Where a router listens.
+/// Addresses on which a router listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     pub callers: SocketAddr,
@@ -80,7 +80,7 @@
         self.addresses
     }
 
-    /// Asks the router something on its own thread.
+    /// Runs a query on the router's thread and returns its result.
     fn ask<T: Send + 'static>(&self, question: impl FnOnce(&Gateway) -> T + Send + 'static) -> T {
         let (tx, rx) = std::sync::mpsc::channel();
         let asked = Box::new(move |g: &Gateway| drop(tx.send(question(g))));
@@ -112,7 +112,7 @@
         self.ask(Gateway::hop_spans)
     }
 
-    /// Stops as planned.
+    /// Stops the router gracefully and returns its report.
     pub async fn stop(mut self) -> StopReport {
         self.stop.send(()).await.expect("the router runs");
         let stopped = self.stopped.take().expect("not stopped before");
@@ -154,7 +154,7 @@
     };
     let serving = listening.serve(Signals { stop, reload });
     let serving = async {
-        // Nobody may wait for the report any more.
+        // The receiver of the report may have been dropped.
         let _ = stopped.send(serving.await);
     };
     tokio::join!(serving, answering);
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins.
+//! A small HTTP server for the simulated targets and store.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr};
 
@@ -12,10 +12,10 @@
     task::{AbortHandle, JoinHandle},
 };
 
-/// A body, whole or streamed; an error cuts the connection.
+/// Response body, complete or streamed; an error in it aborts the connection.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A server that ends, with all its connections, when dropped.
+/// A server that stops and closes all its connections when dropped.
 pub struct Server {
     pub address: SocketAddr,
     task: JoinHandle<()>,
@@ -28,13 +28,13 @@
 }
 
 impl Server {
-    /// Ends the server with all its connections, as dropping it does.
+    /// Returns a handle that stops the server and closes all its connections, as dropping it does.
     pub fn abort_handle(&self) -> AbortHandle {
         self.task.abort_handle()
     }
 }
 
-/// Serves a handler at an address.
+/// Starts a server at an address that answers requests with a handler.
 pub async fn serve<H, F>(listen: &str, handler: H) -> Server
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -43,7 +43,7 @@
     let listener = TcpListener::bind(listen).await.expect("stand-in listens");
     let address = listener.local_addr().expect("stand-in address");
     let task = tokio::spawn(async move {
-        // The set ends its connections when the server is dropped.
+        // The set closes its connections when the server is dropped.
         let mut connections = tokio::task::JoinSet::new();
         loop {
             tokio::select! {
@@ -95,14 +95,14 @@
     body.map(|b| b.to_bytes()).unwrap_or_default()
 }
 
-/// The value of a parameter in the query.
+/// Returns the value of a parameter of the query.
 pub fn query(req: &Request<Incoming>, name: &str) -> Option<String> {
     let pairs = req.uri().query()?.split('&');
     let mut pairs = pairs.filter_map(|p| p.split_once('='));
     pairs.find(|(n, _)| *n == name).map(|(_, v)| v.to_owned())
 }
 
-/// An error that cuts the connection.
+/// Returns an error that aborts the connection.
 pub fn cut() -> std::io::Error {
     std::io::Error::other("cut")
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the store and the targets, and a caller, for tests and examples.
+//! Simulated store and targets, and a caller, for tests and examples.
 #![allow(dead_code, missing_docs)]
 
 pub mod caller;
--- a/tests/support/service.rs
+++ b/tests/support/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service that counts what it executes.
+//! A simulated plain service that counts what it executes.
 
 use std::{
     collections::HashMap,
@@ -15,7 +15,7 @@
 
 pub struct Service {
     pub server: Server,
-    /// How often each idempotency key was executed.
+    /// Number of executions by idempotency key.
     pub executed: Arc<Mutex<HashMap<String, u32>>>,
     fault: Arc<Mutex<Fault>>,
 }
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -1,4 +1,5 @@
-//! Engines that say in their answers, in the product's own words, that they leave or want no calls for a while.
+//! Engines that announce in the product's own headers that they leave or accept no calls for a
+//! while.
 
 mod support;
 
@@ -10,7 +11,7 @@
     fleet::{Fleet, MODEL, Plan, status},
 };
 
-/// Calls that would reach each of two engines nearly for certain.
+/// Number of calls after which each of two engines has almost certainly received one.
 const MANY: usize = 20;
 
 async fn ask(fleet: &Fleet, text: &str) -> Outcome {
@@ -22,7 +23,7 @@
     fleet.engines[engine].state.lock().unwrap().executed.len()
 }
 
-/// What the router shows of targets that want no calls.
+/// Returns the router's status entries of withdrawals, one for each target that accepts no calls.
 async fn withdrawn(fleet: &Fleet) -> Vec<Value> {
     let shown = status(fleet.operators_at(0)).await;
     let targets = shown["targets"].as_array().unwrap().clone();
@@ -79,7 +80,8 @@
         }
     }
     fleet.engines.iter().for_each(|e| e.set_fault(Fault::None));
-    // Those that named no time are passed over for a moment, and taken all the same where none else is left.
+    // Engines that gave no delay in seconds are avoided briefly, but still used if no other engine
+    // is left.
     let later = ask(&fleet, "later").await;
     assert_eq!(later.status, status, "{later:?}");
     for shown in withdrawn(&fleet).await {
