--- a/tests/boundary.rs
+++ b/tests/boundary.rs
@@ -31,11 +31,11 @@
     "internalports",
 ];
 
-fn sources(dir: &Path, all: &mut Vec<(String, String)>) {
+fn read_sources(dir: &Path, all: &mut Vec<(String, String)>) {
     for entry in fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         match path.is_dir() {
-            true => sources(&path, all),
+            true => read_sources(&path, all),
             false => {
                 let text = fs::read_to_string(&path).unwrap();
                 all.push((path.display().to_string(), text.to_lowercase()));
@@ -48,14 +48,14 @@
 fn the_platforms_names_stay_in_its_folder() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut all = Vec::new();
-    sources(&root.join("src"), &mut all);
+    read_sources(&root.join("src"), &mut all);
     for (path, text) in &all {
         for name in PLATFORM_NAMES {
             assert!(!text.contains(name), "{path} knows {name}");
         }
     }
     let mut adapter = Vec::new();
-    sources(&root.join("platform/src"), &mut adapter);
+    read_sources(&root.join("platform/src"), &mut adapter);
     let known = |name: &&str| adapter.iter().any(|(_, text)| text.contains(*name));
     let unknown: Vec<&str> = PLATFORM_NAMES.into_iter().filter(|n| !known(n)).collect();
     assert!(
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -21,7 +21,7 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-async fn small() -> Fleet {
+async fn small_fleet() -> Fleet {
     let settings = vec![
         ("body_limit", "2k".to_owned()),
         ("body_timeout_ms", "300".to_owned()),
@@ -57,7 +57,7 @@
     #[case] path: &str,
     #[case] body: &'static str,
 ) {
-    let fleet = small().await;
+    let fleet = small_fleet().await;
     let outcome = fleet
         .caller
         .call(fleet.callers_at(0), method.clone(), path, &[], body)
@@ -68,7 +68,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_keys_large_bodies_and_broken_senders_have_their_codes() {
-    let fleet = small().await;
+    let fleet = small_fleet().await;
     let at = fleet.callers_at(0);
     let wrong = Caller::new("wrong")
         .call(at, Method::GET, "/v1/models", &[], "")
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sessions_read_as_they_did() {
+async fn sessions_match_their_snapshot() {
     let plan = Plan {
         routers: 1,
         engines: 1,
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -16,9 +16,9 @@
     store::StoreFault,
 };
 
-/// Waits until `holds` returns true, without a time limit.
-async fn until<F: AsyncFnMut() -> bool>(mut holds: F) {
-    while !holds().await {
+/// Waits until `condition` returns true, without a time limit.
+async fn until<F: AsyncFnMut() -> bool>(mut condition: F) {
+    while !condition().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_set_back_reverts_no_router_and_is_mended() {
+async fn a_reverted_store_reverts_no_router_and_is_restored() {
     let fleet = Fleet::start(Plan::default()).await;
     let old = fleet.store.backup();
     let newest = fleet.change("newer", vec![account_edit("newer", 1)]).await;
@@ -141,8 +141,8 @@
     // The routers write back what the store lost, and later changes continue from there.
     let next = fleet.change("next", vec![account_edit("next", 1)]).await;
     assert_eq!(next, newest + 1);
-    let kept = || fleet.store.keys_below(CHANGE_PREFIX).len() as u64;
-    until(async || kept() == next).await;
+    let stored_changes = || fleet.store.keys_below(CHANGE_PREFIX).len() as u64;
+    until(async || stored_changes() == next).await;
     until(async || fleet.live().all(|r| r.revision().0 == next)).await;
 }
 
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_counts_suspensions_since_it_began_and_never_goes_back() {
+async fn the_clock_counts_suspensions_since_its_creation_and_never_goes_back() {
     let (clock, suspended) = clock();
     assert_eq!(
         clock.now(),
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_sleeps_is_woken_by_a_suspension_only_where_the_time_is_over() {
+async fn a_suspension_wakes_only_sleepers_whose_time_is_over() {
     let (clock, suspended) = clock();
     let at = clock.now() + 10 * SECOND;
     let soon = clock.timeout_at(at, std::future::pending::<()>());
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_ready_in_time_is_given_back() {
+async fn a_future_that_is_ready_in_time_returns_its_output() {
     let (clock, _) = clock();
     let done = clock.timeout_at(clock.now(), async { 7 }).await;
     assert_eq!(done, Some(7), "also at the last moment");
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -50,9 +50,9 @@
 }
 
 /// A temporary file of a test, removed when dropped.
-struct Scratch(std::path::PathBuf);
+struct TempFile(std::path::PathBuf);
 
-impl Scratch {
+impl TempFile {
     fn new(name: &str, text: &str) -> Self {
         let path = std::env::temp_dir().join(format!("{}-{name}", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_call_is_explained_from_logs_alone() {
-    let log = Scratch::new("router.log", LOG);
+    let log = TempFile::new("router.log", LOG);
     let out = run(COMMAND, &["explain", "a1", "--log", log.path()]);
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).unwrap();
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn all_faults_of_a_configuration_are_told_at_once() {
+fn all_faults_of_a_configuration_are_reported_at_once() {
     let wrong = serde_json::json!({
         "accounts": {"farm": {"key_hashes": [], "requests_per_s": 0, "concurrency": 4}},
         "services": {"desk": {"timeout_ms": 0}},
         "targets": {"t-1": {"address": "10.0.0.1:80", "region": "r", "data_hall": "h",
             "serves": {"model": "none"}}}});
-    let file = Scratch::new("wrong.json", &wrong.to_string());
+    let file = TempFile::new("wrong.json", &wrong.to_string());
     let out = run(COMMAND, &["check-config", file.path()]);
     assert_eq!(out.status.code(), Some(1));
     let text = String::from_utf8(out.stderr).unwrap();
@@ -116,9 +116,9 @@
     ] {
         assert!(text.contains(fault), "{text}");
     }
-    let fine = Scratch::new("fine.json", "{}");
+    let valid = TempFile::new("fine.json", "{}");
     assert!(
-        run(COMMAND, &["check-config", fine.path()])
+        run(COMMAND, &["check-config", valid.path()])
             .status
             .success()
     );
--- a/tests/data_halls.rs
+++ b/tests/data_halls.rs
@@ -17,7 +17,7 @@
     fleet.caller.chat(fleet.callers_at(router), &body).await
 }
 
-async fn state(fleet: &Fleet, edit: &str) {
+async fn apply_hall_edit(fleet: &Fleet, edit: &str) {
     let edits = vec![json!({edit: {"id": HALL}})];
     let revision = fleet.change("work on the power lines", edits).await;
     while !fleet.live().all(|r| r.revision().0 >= revision) {
@@ -37,7 +37,7 @@
         let of = |e: &support::engine::Engine| e.state.lock().unwrap().executed.len();
         fleet.engines.iter().map(of).sum::<usize>()
     };
-    state(&fleet, "evacuate_data_hall").await;
+    apply_hall_edit(&fleet, "evacuate_data_hall").await;
     let before = runs();
     for router in 0..3 {
         let refused = ask(&fleet, router, "during").await;
@@ -47,7 +47,7 @@
         assert_eq!(shown["evacuated"][0]["data_hall"], HALL, "{shown}");
     }
     assert_eq!(runs(), before);
-    state(&fleet, "take_data_hall_back").await;
+    apply_hall_edit(&fleet, "take_data_hall_back").await;
     for router in 0..3 {
         assert_eq!(ask(&fleet, router, "after").await.status, 200);
     }
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -20,11 +20,11 @@
 };
 
 /// Instant at which all routers know one another.
-const SETTLED: Instant = Instant(Duration::from_secs(20));
+const ALL_KNOWN_AT: Instant = Instant(Duration::from_secs(20));
 
 /// Maximum number of routers that one router may feed, as it sends each list once per fed router
 /// over its link.
-const FED_MOST: usize = 64;
+const MAX_FED_ROUTERS: usize = 64;
 
 fn vm(n: usize) -> VmId {
     format!("vm-{n}").parse().unwrap()
@@ -36,7 +36,7 @@
 }
 
 /// Returns the capacity of a VM. One in nineteen is as strong as the users' strong VMs.
-fn strength(n: usize) -> CapacityClass {
+fn capacity_of(n: usize) -> CapacityClass {
     match n % 19 {
         0 => CapacityClass::new(200.0, 0.5),
         _ => CapacityClass::new(20.0, 0.12),
@@ -47,7 +47,7 @@
     MemberRecord {
         vm: vm(n),
         hall: format!("hall-{}", n % 5).parse().unwrap(),
-        capacity: strength(n),
+        capacity: capacity_of(n),
         address: address(n),
         incarnation: Incarnation(1),
         state: RecordState::Alive { heard_ms: 0 },
@@ -83,22 +83,29 @@
     }
 }
 
-fn alone(me: usize, seeds: &[SocketAddr]) -> Peers {
+fn new_peers(me: usize, seeds: &[SocketAddr]) -> Peers {
     let own = record(me);
-    let life = Incarnation(1);
-    Peers::new(own.vm, own.hall, own.capacity, life, own.address, seeds)
+    let incarnation = Incarnation(1);
+    Peers::new(
+        own.vm,
+        own.hall,
+        own.capacity,
+        incarnation,
+        own.address,
+        seeds,
+    )
 }
 
 /// Returns the routers of a fleet, each of which knows all others.
 fn fleet(n: usize) -> Vec<Peers> {
     let all: Vec<MemberRecord> = (0..n).map(record).collect();
-    let told = datagram_with(0, n, Exchange::Records(all));
-    let knows_all = |me: usize| {
-        let mut peers = alone(me, &[]);
-        peers.on_records(SETTLED, &told);
+    let received = datagram_with(0, n, Exchange::Records(all));
+    let knowing_all = |me: usize| {
+        let mut peers = new_peers(me, &[]);
+        peers.on_records(ALL_KNOWN_AT, &received);
         peers
     };
-    (0..n).map(knows_all).collect()
+    (0..n).map(knowing_all).collect()
 }
 
 fn listed() -> ReadState {
@@ -109,8 +116,8 @@
 }
 
 /// Returns the source that each router of a fleet asks next.
-fn asked(fleet: &[Peers]) -> Vec<NextRead> {
-    let now = SETTLED + Duration::from_secs(1);
+fn next_reads(fleet: &[Peers]) -> Vec<NextRead> {
+    let now = ALL_KNOWN_AT + Duration::from_secs(1);
     fleet.iter().map(|p| p.next_read(now, &listed())).collect()
 }
 
@@ -122,37 +129,37 @@
 #[case::the_size_to_design_for(380)]
 #[case::the_whole_fleet(985)]
 #[case::twice_that(2_000)]
-fn what_is_new_in_the_store_passes_few_routers_and_none_feeds_many(#[case] n: usize) {
-    let asked = asked(&fleet(n));
-    let readers = asked.iter().filter(|a| **a == NextRead::Store).count();
+fn store_changes_pass_few_routers_and_none_feeds_many(#[case] n: usize) {
+    let next_reads = next_reads(&fleet(n));
+    let readers = next_reads.iter().filter(|a| **a == NextRead::Store).count();
     assert_eq!(readers, 3);
-    let mut fed: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-    for (me, first) in asked.iter().enumerate() {
+    let mut fed_counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+    for (me, first) in next_reads.iter().enumerate() {
         let mut next = first;
         let mut hops = 0;
         while let NextRead::Ask(parent) = next {
             let parent_number = (0..n).find(|i| address(*i) == *parent).unwrap();
-            next = &asked[parent_number];
+            next = &next_reads[parent_number];
             hops += 1;
             assert!(hops <= 2, "router {me}");
         }
         assert_eq!(*next, NextRead::Store);
         if let NextRead::Ask(parent) = first {
-            *fed.entry(*parent).or_default() += 1;
+            *fed_counts.entry(*parent).or_default() += 1;
         }
     }
-    let most = fed.values().max().unwrap();
-    assert!(*most <= FED_MOST, "one feeds {most} others");
+    let most = fed_counts.values().max().unwrap();
+    assert!(*most <= MAX_FED_ROUTERS, "one feeds {most} others");
 }
 
 /// If there are enough strong VMs, only they feed other routers.
 #[test]
-fn thin_vms_feed_nobody_beside_strong_ones() {
-    let asked = asked(&fleet(985));
-    for next in asked {
+fn weak_vms_feed_no_others_if_there_are_enough_strong_ones() {
+    let next_reads = next_reads(&fleet(985));
+    for next in next_reads {
         if let NextRead::Ask(parent) = next {
             let parent_number = (0..985).find(|i| address(*i) == parent).unwrap();
-            assert_eq!(strength(parent_number), CapacityClass::new(200.0, 0.5));
+            assert_eq!(capacity_of(parent_number), CapacityClass::new(200.0, 0.5));
         }
     }
 }
@@ -162,9 +169,11 @@
 #[test]
 fn a_router_whose_feeders_have_nothing_recent_goes_to_the_store_and_comes_back() {
     let mut fleet = fleet(985);
-    let now = SETTLED + Duration::from_secs(1);
-    let is_fed = |p: &Peers| matches!(p.next_read(now, &listed()), NextRead::Ask(_));
-    let me = fleet.iter().rposition(|p| is_fed(p) && !p.is_feeder(now));
+    let now = ALL_KNOWN_AT + Duration::from_secs(1);
+    let reads_from_peer = |p: &Peers| matches!(p.next_read(now, &listed()), NextRead::Ask(_));
+    let me = fleet
+        .iter()
+        .rposition(|p| reads_from_peer(p) && !p.is_feeder(now));
     let peers = &mut fleet[me.unwrap()];
     let first = peers.next_read(now, &listed());
     let mut asked = Vec::new();
@@ -184,7 +193,7 @@
 /// took 30 s until they served again.
 #[test]
 fn a_router_of_a_large_fleet_that_starts_again_finds_the_others_before_it_reads() {
-    let mut peers = alone(7, &[address(0)]);
+    let mut peers = new_peers(7, &[address(0)]);
     let state = ReadState {
         start: FleetStart::Later,
         ..ReadState::default()
@@ -192,19 +201,19 @@
     let at = |ms| Instant(Duration::from_millis(ms));
     assert_eq!(peers.next_read(at(0), &state), NextRead::Wait);
     let routers = 900;
-    let compared = Exchange::Compare { digest: 1, routers };
-    let told = datagram_with(0, 1, compared);
-    peers.on_datagram(at(50), address(0), &told);
-    peers.answer(at(50), &told);
+    let comparison = Exchange::Compare { digest: 1, routers };
+    let received = datagram_with(0, 1, comparison);
+    peers.on_datagram(at(50), address(0), &received);
+    peers.answer(at(50), &received);
     assert_eq!(peers.next_read(at(300), &state), NextRead::Wait);
     let all = (0..985).map(record).collect();
-    let told = datagram_with(0, 2, Exchange::Records(all));
-    peers.on_records(at(800), &told);
+    let received = datagram_with(0, 2, Exchange::Records(all));
+    peers.on_records(at(800), &received);
     assert_eq!(peers.next_read(at(900), &state), NextRead::Wait);
     let next = peers.next_read(at(1_400), &state);
     assert!(matches!(next, NextRead::Ask(_)), "{next:?}");
     // A router that gets no answer from its peers reads the store itself.
-    let unanswered = alone(7, &[address(0)]);
+    let unanswered = new_peers(7, &[address(0)]);
     assert_eq!(unanswered.next_read(at(300), &state), NextRead::Store);
 }
 
@@ -218,10 +227,10 @@
         value,
         revision: StoreRevision::first_era(revision),
     };
-    let there = |n| item(n, Some(PackedValue::pack(b"{}")), n + 1);
+    let entry = |n| item(n, Some(PackedValue::pack(b"{}")), n + 1);
     let mut mirror = StoreMirror::default();
     mirror.on_list(&StoreUpdate {
-        items: (0..targets).map(there).collect(),
+        items: (0..targets).map(entry).collect(),
         revision: StoreRevision::first_era(targets),
     });
     mirror.on_changes(&StoreUpdate {
@@ -230,6 +239,8 @@
             .collect(),
         revision: StoreRevision::first_era(2 * targets),
     });
-    let told = mirror.since(StoreRevision::first_era(targets)).unwrap();
-    assert!(matches!(told, MirrorReply::Changes(news) if news.items.len() as u64 == targets));
+    let received = mirror.since(StoreRevision::first_era(targets)).unwrap();
+    assert!(
+        matches!(received, MirrorReply::Changes(update) if update.items.len() as u64 == targets)
+    );
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -31,8 +31,8 @@
 }
 
 fn peers(me: usize) -> Peers {
-    let strength = CapacityClass::new(100.0, 0.5);
-    Peers::new(vm(me), hall(me), strength, Incarnation(1), address(me), &[])
+    let capacity = CapacityClass::new(100.0, 0.5);
+    Peers::new(vm(me), hall(me), capacity, Incarnation(1), address(me), &[])
 }
 
 fn datagram(from: usize, number: u64) -> Datagram {
@@ -65,20 +65,20 @@
     }
 }
 
-fn hear(peers: &mut Peers, now: Instant, told: &Datagram) -> DatagramEffect {
-    let from: usize = told.vm.as_str()[3..].parse().unwrap();
-    peers.on_datagram(now, address(from), told)
+fn receive(peers: &mut Peers, now: Instant, received: &Datagram) -> DatagramEffect {
+    let from: usize = received.vm.as_str()[3..].parse().unwrap();
+    peers.on_datagram(now, address(from), received)
 }
 
 /// Returns the views of `n` routers, each of which received a datagram from all others at `now`.
 fn fleet(n: usize, now: Instant) -> Vec<Peers> {
     (0..n)
         .map(|me| {
-            let mut seen = peers(me);
+            let mut peers = peers(me);
             for other in (0..n).filter(|o| *o != me) {
-                hear(&mut seen, now, &datagram(other, 1));
+                receive(&mut peers, now, &datagram(other, 1));
             }
-            seen
+            peers
         })
         .collect()
 }
@@ -87,61 +87,67 @@
 /// time: 0.1 GB in twelve seconds.
 #[test]
 fn a_peer_that_stops_does_not_join_again() {
-    let mut seen = peers(0);
+    let mut peers = peers(0);
     assert_eq!(
-        hear(&mut seen, at(0), &datagram(1, 1)),
+        receive(&mut peers, at(0), &datagram(1, 1)),
         DatagramEffect::Joined
     );
     for number in 2..20 {
-        let told = Datagram {
+        let received = Datagram {
             stopping: true,
             ..datagram(1, number)
         };
         assert_eq!(
-            hear(&mut seen, at(number * 100), &told),
+            receive(&mut peers, at(number * 100), &received),
             DatagramEffect::Known
         );
     }
-    assert_eq!(seen.live_count(at(2_000)), 1);
+    assert_eq!(peers.live_count(at(2_000)), 1);
 }
 
 #[test]
-fn a_new_life_joins_and_an_old_one_is_passed_over() {
-    let mut seen = peers(0);
-    hear(&mut seen, at(0), &datagram(1, 9));
-    let mut reborn = datagram(1, 1);
-    reborn.sent.incarnation = Incarnation(2);
-    assert_eq!(hear(&mut seen, at(10), &reborn), DatagramEffect::Joined);
+fn a_new_incarnation_joins_and_an_old_one_is_ignored() {
+    let mut peers = peers(0);
+    receive(&mut peers, at(0), &datagram(1, 9));
+    let mut restarted = datagram(1, 1);
+    restarted.sent.incarnation = Incarnation(2);
     assert_eq!(
-        hear(&mut seen, at(20), &datagram(1, 10)),
+        receive(&mut peers, at(10), &restarted),
+        DatagramEffect::Joined
+    );
+    assert_eq!(
+        receive(&mut peers, at(20), &datagram(1, 10)),
         DatagramEffect::Outdated
     );
     assert_eq!(
-        hear(&mut seen, at(30), &reborn),
+        receive(&mut peers, at(30), &restarted),
         DatagramEffect::Outdated,
         "twice the same"
     );
 }
 
 #[test]
-fn an_echo_of_another_life_vouches_for_nothing() {
-    let seen = peers(0);
-    let mut told = datagram(1, 1);
-    told.config = Some((ConfigVersion(4), 100));
+fn an_echo_of_another_incarnation_confirms_no_config() {
+    let peers = peers(0);
+    let mut received = datagram(1, 1);
+    received.config = Some((ConfigVersion(4), 100));
     assert!(
-        seen.config_confirmation(&told).is_none(),
+        peers.config_confirmation(&received).is_none(),
         "it answers nothing of ours"
     );
-    told.echo = Some(Stamp {
+    received.echo = Some(Stamp {
         incarnation: Incarnation(7),
         micros: 5,
     });
-    assert!(seen.config_confirmation(&told).is_none());
-    told.echo = Some(Stamp {
+    assert!(peers.config_confirmation(&received).is_none());
+    received.echo = Some(Stamp {
         incarnation: Incarnation(1),
         micros: 5_000_000,
     });
-    assert_eq!(seen.config_confirmation(&told).unwrap().echo, at(5_000));
+    assert_eq!(
+        peers.config_confirmation(&received).unwrap().echo,
+        at(5_000)
+    );
 }
 
 #[test]
@@ -152,18 +158,18 @@
 }
 
 #[test]
-fn a_reader_without_recent_word_from_the_store_is_not_asked() {
-    let mut seen = peers(0);
-    let told = Datagram {
+fn a_reader_without_a_recent_answer_from_the_store_is_not_asked() {
+    let mut peers = peers(0);
+    let received = Datagram {
         reader_ages: vec![(vm(1), 200)],
         ..datagram(1, 1)
     };
-    hear(&mut seen, at(1_000), &told);
-    assert_eq!(seen.choose_reader(at(1_100)), Some(address(1)));
+    receive(&mut peers, at(1_000), &received);
+    assert_eq!(peers.choose_reader(at(1_100)), Some(address(1)));
     let silent = datagram(1, 2);
-    hear(&mut seen, at(2_500), &silent);
+    receive(&mut peers, at(2_500), &silent);
     assert_eq!(
-        seen.choose_reader(at(2_500)),
+        peers.choose_reader(at(2_500)),
         None,
         "it lives, but tells of no word since"
     );
@@ -172,35 +178,35 @@
 /// When the store rejected all designated readers, each of the other routers read it once, and then
 /// they only asked one another for three seconds, while targets left.
 #[test]
-fn where_no_named_reader_has_word_a_few_of_the_others_go_on_reading() {
+fn if_no_designated_reader_has_an_answer_a_few_other_routers_continue_to_read() {
     let n = 12;
     let fleet = fleet(n, at(0));
     let others: Vec<usize> = (0..n).filter(|i| !fleet[*i].is_reader(at(0))).collect();
     assert_eq!(others.len(), n - 3);
-    let words: Vec<(VmId, u32)> = others.iter().map(|i| (vm(*i), 100)).collect();
-    let mut standing_in = Vec::new();
+    let recent_reads: Vec<(VmId, u32)> = others.iter().map(|i| (vm(*i), 100)).collect();
+    let mut substitutes = Vec::new();
     let mut asked = Vec::new();
-    for (me, mut seen) in fleet.into_iter().enumerate() {
+    for (me, mut peers) in fleet.into_iter().enumerate() {
         for other in (0..n).filter(|o| *o != me) {
-            let told = Datagram {
-                reader_ages: words.clone(),
+            let received = Datagram {
+                reader_ages: recent_reads.clone(),
                 ..datagram(other, 2)
             };
-            hear(&mut seen, at(1_000), &told);
+            receive(&mut peers, at(1_000), &received);
         }
-        match others.contains(&me) && seen.is_substitute_reader(at(1_000)) {
-            true => standing_in.push(address(me)),
-            false => asked.push(seen.choose_reader(at(1_000)).unwrap()),
+        match others.contains(&me) && peers.is_substitute_reader(at(1_000)) {
+            true => substitutes.push(address(me)),
+            false => asked.push(peers.choose_reader(at(1_000)).unwrap()),
         }
     }
-    assert_eq!(standing_in.len(), 3);
-    assert!(asked.iter().all(|a| standing_in.contains(a)), "{asked:?}");
+    assert_eq!(substitutes.len(), 3);
+    assert!(asked.iter().all(|a| substitutes.contains(a)), "{asked:?}");
 }
 
 /// When the store answered again after an outage, the readers got answers at once, but the other
 /// routers kept waiting for up to two seconds.
 #[test]
-fn a_router_that_waits_for_the_store_asks_a_reader_as_soon_as_one_has_word() {
+fn a_router_that_waits_for_the_store_asks_a_reader_as_soon_as_one_has_an_answer() {
     let n = 12;
     let mut fleet = fleet(n, at(1_000));
     let is_reader = |p: &Peers| p.is_reader(at(1_000));
@@ -212,15 +218,15 @@
         retry_at: at(4_000),
         ..ReadState::default()
     };
-    let seen = &mut fleet[other];
-    assert_eq!(seen.next_read(at(2_000), &state), NextRead::Wait);
-    assert_eq!(seen.next_read(at(4_000), &state), NextRead::Store);
-    let told = Datagram {
+    let peers = &mut fleet[other];
+    assert_eq!(peers.next_read(at(2_000), &state), NextRead::Wait);
+    assert_eq!(peers.next_read(at(4_000), &state), NextRead::Store);
+    let received = Datagram {
         reader_ages: vec![(vm(reader), 10)],
         ..datagram(reader, 2)
     };
-    hear(seen, at(2_000), &told);
-    let next = seen.next_read(at(2_000), &state);
+    receive(peers, at(2_000), &received);
+    let next = peers.next_read(at(2_000), &state);
     assert_eq!(next, NextRead::Ask(address(reader)));
 }
 
@@ -241,44 +247,44 @@
 }
 
 #[test]
-fn one_router_of_each_hall_adds_up_and_another_stands_in_when_it_is_silent() {
+fn one_router_of_each_hall_aggregates_and_another_replaces_it_when_it_is_silent() {
     let n = 30;
     let mut fleet = fleet(n, at(0));
-    let adding = |fleet: &[Peers], now| -> Vec<usize> {
+    let aggregators = |fleet: &[Peers], now| -> Vec<usize> {
         (0..n).filter(|i| fleet[*i].is_aggregator(now)).collect()
     };
-    let first = adding(&fleet, at(100));
+    let first = aggregators(&fleet, at(100));
     assert_eq!(first.len(), 3, "one a hall: {first:?}");
     // Every router but the first aggregators sends another datagram.
-    for (me, seen) in fleet.iter_mut().enumerate() {
+    for (me, peers) in fleet.iter_mut().enumerate() {
         for other in (0..n).filter(|o| *o != me && !first.contains(o)) {
-            hear(seen, at(1_000), &datagram(other, 2));
+            receive(peers, at(1_000), &datagram(other, 2));
         }
     }
-    let second = adding(&fleet, at(1_000));
-    let stand_ins = second.iter().filter(|i| !first.contains(i)).count();
-    assert_eq!(stand_ins, 3, "{second:?}");
+    let second = aggregators(&fleet, at(1_000));
+    let replacements = second.iter().filter(|i| !first.contains(i)).count();
+    assert_eq!(replacements, 3, "{second:?}");
 }
 
 #[test]
 fn what_a_router_sends_does_not_grow_with_the_fleet() {
-    let sent_a_second = |n: usize| {
+    let datagrams_per_s = |n: usize| {
         let fleet = fleet(n, at(0));
         let now = at(100);
         let other = fleet.iter().find(|p| !p.is_aggregator(now)).unwrap();
-        let told = other.frequent_receivers(now).len() as f64 / send_interval(n).as_secs_f64();
+        let datagrams = other.frequent_receivers(now).len() as f64 / send_interval(n).as_secs_f64();
         // A comparison of member records takes at most four datagrams.
-        let compared = 4.0 / other.compare_interval(at(10_000)).as_secs_f64();
-        told + compared
+        let comparisons = 4.0 / other.compare_interval(at(10_000)).as_secs_f64();
+        datagrams + comparisons
     };
-    assert!(sent_a_second(200) < 45.0);
-    assert!(sent_a_second(200) < sent_a_second(100) * 1.1);
+    assert!(datagrams_per_s(200) < 45.0);
+    assert!(datagrams_per_s(200) < datagrams_per_s(100) * 1.1);
     // Only the aggregator of a data hall sends to many others when counts change.
     let large = fleet(90, at(0));
-    let close = large
+    let frequent_senders = large
         .iter()
         .filter(|p| p.frequent_receivers(at(100)).len() > 2);
-    assert_eq!(close.count(), 3);
+    assert_eq!(frequent_senders.count(), 3);
 }
 
 #[test]
@@ -286,15 +292,15 @@
     let calls = [100, 10, 50, 0];
     let shares: f64 = (0..4)
         .map(|me| {
-            let mut seen = peers(me);
+            let mut peers = peers(me);
             for other in (0..4).filter(|o| *o != me) {
-                let told = Datagram {
+                let received = Datagram {
                     calls: calls[other],
                     ..datagram(other, 1)
                 };
-                hear(&mut seen, at(0), &told);
+                receive(&mut peers, at(0), &received);
             }
-            seen.call_share(at(10), calls[me])
+            peers.call_share(at(10), calls[me])
         })
         .sum();
     assert!((shares - 1.0).abs() < 0.01, "{shares}");
@@ -302,39 +308,39 @@
 
 #[test]
 fn a_silent_peer_stops_to_count() {
-    let mut seen = peers(0);
-    hear(&mut seen, at(0), &datagram(1, 1));
-    assert_eq!(seen.live_count(at(2_000)), 2);
-    assert_eq!(seen.live_count(at(4_000)), 1);
+    let mut peers = peers(0);
+    receive(&mut peers, at(0), &datagram(1, 1));
+    assert_eq!(peers.live_count(at(2_000)), 2);
+    assert_eq!(peers.live_count(at(4_000)), 1);
 }
 
 /// Readers with slow links took seconds to forward a configuration.
 #[test]
-fn the_stronger_routers_read_the_store_and_add_up() {
+fn the_stronger_routers_read_the_store_and_aggregate() {
     let n = 30;
-    let strength = |i: usize| match i % 5 {
+    let capacity = |i: usize| match i % 5 {
         0 => CapacityClass::new(200.0, 0.5),
         _ => CapacityClass::new(10.0, 0.12),
     };
     let fleet: Vec<Peers> = (0..n)
         .map(|me| {
-            let seen = Peers::new(
+            let peers = Peers::new(
                 vm(me),
                 hall(me),
-                strength(me),
+                capacity(me),
                 Incarnation(1),
                 address(me),
                 &[],
             );
-            let mut seen = seen;
+            let mut peers = peers;
             for other in (0..n).filter(|o| *o != me) {
-                let told = Datagram {
-                    capacity: strength(other),
+                let received = Datagram {
+                    capacity: capacity(other),
                     ..datagram(other, 1)
                 };
-                hear(&mut seen, at(0), &told);
+                receive(&mut peers, at(0), &received);
             }
-            seen
+            peers
         })
         .collect();
     let chosen =
@@ -342,9 +348,9 @@
     let readers = chosen(&|p| p.is_reader(at(100)));
     assert_eq!(readers.len(), 3);
     assert!(readers.iter().all(|i| i % 5 == 0), "{readers:?}");
-    let adding = chosen(&|p| p.is_aggregator(at(100)));
-    assert_eq!(adding.len(), 3);
-    assert!(adding.iter().all(|i| i % 5 == 0), "{adding:?}");
+    let aggregators = chosen(&|p| p.is_aggregator(at(100)));
+    assert_eq!(aggregators.len(), 3);
+    assert!(aggregators.iter().all(|i| i % 5 == 0), "{aggregators:?}");
 }
 
 /// While the store was down for 8 s, each of 295 routers called it every 1.5 s: half of the day's
@@ -357,11 +363,11 @@
     #[case] routers: usize,
     #[case] pause_ms: u64,
 ) {
-    let mut seen = peers(0);
+    let mut peers = peers(0);
     for other in 1..routers {
-        hear(&mut seen, at(0), &datagram(other, 1));
+        receive(&mut peers, at(0), &datagram(other, 1));
     }
-    let pause = seen.non_reader_backoff(at(100));
+    let pause = peers.non_reader_backoff(at(100));
     assert_eq!(pause, Duration::from_millis(pause_ms));
 }
 
@@ -369,23 +375,35 @@
 /// its next incarnation with a lower number, and its peers took it for the old one and ignored it
 /// for a minute.
 #[test]
-fn a_new_life_joins_also_after_its_clock_was_set_back() {
-    let mut seen = peers(0);
+fn a_new_incarnation_joins_even_after_its_clock_was_set_back() {
+    let mut peers = peers(0);
     let mut old = datagram(1, 9);
     old.sent.incarnation = Incarnation(20_000);
-    hear(&mut seen, at(0), &old);
-    let mut reborn = datagram(1, 1);
-    reborn.sent.incarnation = Incarnation(5_000);
+    receive(&mut peers, at(0), &old);
+    let mut restarted = datagram(1, 1);
+    restarted.sent.incarnation = Incarnation(5_000);
     // Datagrams of the old incarnation may still be in transit, so the new one is accepted after a
     // delay.
-    assert_eq!(hear(&mut seen, at(100), &reborn), DatagramEffect::Outdated);
-    reborn.number = 2;
-    assert_eq!(hear(&mut seen, at(1_100), &reborn), DatagramEffect::Joined);
+    assert_eq!(
+        receive(&mut peers, at(100), &restarted),
+        DatagramEffect::Outdated
+    );
+    restarted.number = 2;
+    assert_eq!(
+        receive(&mut peers, at(1_100), &restarted),
+        DatagramEffect::Joined
+    );
     // A late datagram of the old incarnation does not undo the join.
     old.number = 10;
-    assert_eq!(hear(&mut seen, at(1_200), &old), DatagramEffect::Outdated);
-    reborn.number = 3;
-    assert_eq!(hear(&mut seen, at(1_300), &reborn), DatagramEffect::Known);
+    assert_eq!(
+        receive(&mut peers, at(1_200), &old),
+        DatagramEffect::Outdated
+    );
+    restarted.number = 3;
+    assert_eq!(
+        receive(&mut peers, at(1_300), &restarted),
+        DatagramEffect::Known
+    );
 }
 
 /// A router whose VM was suspended for ten seconds had received no datagrams in that time, so it
@@ -393,25 +411,25 @@
 /// received their next datagrams, it used the retry budget of the whole fleet and took over all
 /// duties alone.
 #[test]
-fn a_router_that_was_absent_does_not_take_its_peers_for_dead() {
-    let mut seen = fleet(7, at(0)).swap_remove(0);
+fn a_router_whose_vm_was_suspended_does_not_consider_its_peers_dead() {
+    let mut peers = fleet(7, at(0)).swap_remove(0);
     let tick = 100;
     for ms in (0..1_000).step_by(tick) {
-        seen.on_tick(at(ms));
+        peers.on_tick(at(ms));
     }
-    let gone_on = 11_000;
-    seen.on_tick(at(gone_on));
-    assert_eq!(seen.live_count(at(gone_on)), 7);
-    assert!(seen.call_share(at(gone_on), 10) < 0.6);
+    let resumed_at = 11_000;
+    peers.on_tick(at(resumed_at));
+    assert_eq!(peers.live_count(at(resumed_at)), 7);
+    assert!(peers.call_share(at(resumed_at), 10) < 0.6);
     // Peers that stay silent after the suspension are considered dead as usual.
-    hear(&mut seen, at(gone_on + 50), &datagram(1, 2));
-    for ms in (gone_on..gone_on + 900).step_by(tick) {
-        seen.on_tick(at(ms));
+    receive(&mut peers, at(resumed_at + 50), &datagram(1, 2));
+    for ms in (resumed_at..resumed_at + 900).step_by(tick) {
+        peers.on_tick(at(ms));
     }
-    let later = gone_on + 4_000;
-    hear(&mut seen, at(later), &datagram(1, 3));
-    for ms in (gone_on + 900..later).step_by(tick) {
-        seen.on_tick(at(ms));
+    let later = resumed_at + 4_000;
+    receive(&mut peers, at(later), &datagram(1, 3));
+    for ms in (resumed_at + 900..later).step_by(tick) {
+        peers.on_tick(at(ms));
     }
-    assert_eq!(seen.live_count(at(later)), 2);
+    assert_eq!(peers.live_count(at(later)), 2);
 }
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -15,9 +15,9 @@
     store::StoreFault,
 };
 
-/// Waits until `holds` returns true, without a time limit.
-async fn until<F: AsyncFnMut() -> bool>(mut holds: F) {
-    while !holds().await {
+/// Waits until `condition` returns true, without a time limit.
+async fn until<F: AsyncFnMut() -> bool>(mut condition: F) {
+    while !condition().await {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -68,10 +68,10 @@
         let (at, caller) = (fleet.callers_at(i % 3), fleet.caller.clone());
         async move { (caller.chat(at, &body).await, expected(7, &body).concat()) }
     });
-    for (outcome, right) in join_all(chats).await {
+    for (outcome, expected_text) in join_all(chats).await {
         match outcome.status {
-            200 if !outcome.cut => assert_eq!(outcome.text, right),
-            200 => assert!(right.starts_with(&outcome.text), "{outcome:?}"),
+            200 if !outcome.cut => assert_eq!(outcome.text, expected_text),
+            200 => assert!(expected_text.starts_with(&outcome.text), "{outcome:?}"),
             _ if outcome.ran == "no" => assert_eq!(runs(&fleet, &outcome.request), 0),
             // If an engine crashes, the head of its answer may be lost as well.
             _ => {
@@ -226,13 +226,13 @@
     let started = |i: usize| fleet.engines[i].state.lock().unwrap().executed.len();
     // All gates are closed, so a chat that has ended was refused, and one that started twice was
     // retried. In both cases the wait would never end.
-    let begun = async || {
+    let all_started = async || {
         let sum = (0..3).map(started).sum::<usize>();
         let ended = chats.iter().filter(|c| c.is_finished()).count();
         assert!(sum <= 12 && ended == 0, "{sum} begun, {ended} ended early");
         sum == 12
     };
-    until(begun).await;
+    until(all_started).await;
     let revision = fleet
         .change("engine 0 leaves", vec![fleet.engine_edit(0, "leave")])
         .await;
@@ -249,8 +249,8 @@
     assert_eq!(started(0), before);
     fleet.engines[0].set_gate(true);
     for chat in chats {
-        let (outcome, right) = chat.await.unwrap();
-        assert_eq!((outcome.text, outcome.cut), (right, false));
+        let (outcome, expected_text) = chat.await.unwrap();
+        assert_eq!((outcome.text, outcome.cut), (expected_text, false));
     }
 }
 
@@ -286,8 +286,8 @@
         assert_eq!(outcome.text, expected(7, &body).concat(), "{outcome:?}");
     }
     for chat in chats {
-        let (outcome, right) = chat.await.unwrap();
-        assert_eq!((outcome.text, outcome.cut), (right, false));
+        let (outcome, expected_text) = chat.await.unwrap();
+        assert_eq!((outcome.text, outcome.cut), (expected_text, false));
     }
     let report = stop.await.unwrap();
     assert_eq!(report.cut_off, 0);
@@ -322,7 +322,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_status_shows_what_holds() {
+async fn every_router_explains_a_call_and_no_status_shows_the_token() {
     let fleet = Arc::new(Fleet::start(Plan::default()).await);
     let body = question("explain me", false);
     let outcome = fleet.caller.chat(fleet.callers_at(0), &body).await;
@@ -342,9 +342,9 @@
         for event in ["received", "tried", "answered", "ended"] {
             assert!(events.contains(&json!(event)), "{events:?}");
         }
-        let seen = status(fleet.operators_at(i)).await;
-        assert_eq!(seen["state"], "serving");
-        assert!(!seen.to_string().contains(TOKEN));
+        let shown = status(fleet.operators_at(i)).await;
+        assert_eq!(shown["state"], "serving");
+        assert!(!shown.to_string().contains(TOKEN));
     }
 }
 
--- a/tests/support/engine.rs
+++ b/tests/support/engine.rs
@@ -17,7 +17,7 @@
 use super::http::{self, Body, Server};
 
 /// Size of a block of a prompt that is cached as a unit, in bytes.
-const BLOCK: usize = 64;
+const BLOCK_BYTES: usize = 64;
 
 #[derive(Clone)]
 pub struct EngineConfig {
@@ -90,13 +90,13 @@
     state: Arc<Mutex<EngineState>>,
     fault: Arc<Mutex<Fault>>,
     gate: watch::Receiver<bool>,
-    ending: watch::Sender<bool>,
-    life: Arc<OnceLock<AbortHandle>>,
+    ended_tx: watch::Sender<bool>,
+    server_task: Arc<OnceLock<AbortHandle>>,
 }
 
 impl Engine {
     pub async fn start(listen: &str, cfg: EngineConfig) -> Self {
-        let blocks = (cfg.cache_tokens * 4 / BLOCK).max(1);
+        let blocks = (cfg.cache_tokens * 4 / BLOCK_BYTES).max(1);
         let state = Arc::new(Mutex::new(EngineState {
             executed: HashMap::new(),
             cancelled: 0,
@@ -109,18 +109,18 @@
         }));
         let fault: Arc<Mutex<Fault>> = Arc::default();
         let (gate, open) = watch::channel(true);
-        let (ending, ended) = watch::channel(false);
-        let life: Arc<OnceLock<AbortHandle>> = Arc::default();
+        let (ended_tx, ended) = watch::channel(false);
+        let server_task: Arc<OnceLock<AbortHandle>> = Arc::default();
         let cx = Cx {
-            ending,
-            life: life.clone(),
+            ended_tx,
+            server_task: server_task.clone(),
             cfg,
             state: state.clone(),
             fault: fault.clone(),
             gate: open,
         };
         let server = http::serve(listen, move |req| handle(cx.clone(), req)).await;
-        life.set(server.abort_handle()).expect("set once");
+        server_task.set(server.abort_handle()).expect("set once");
         Self {
             server,
             state,
@@ -172,14 +172,14 @@
         "/v1/chat/completions" => {
             let fault = *cx.fault.lock().unwrap();
             let answer = chat(cx, req).await;
-            answer.map(|res| named(res, fault))
+            answer.map(|res| with_withdrawal_headers(res, fault))
         }
         _ => Ok(http::whole(404, "")),
     }
 }
 
 /// Adds the headers with which the engine announces its withdrawal.
-fn named(mut res: Response<Body>, fault: Fault) -> Response<Body> {
+fn with_withdrawal_headers(mut res: Response<Body>, fault: Fault) -> Response<Body> {
     let headers = res.headers_mut();
     match fault {
         Fault::RefuseFor(time) => drop(headers.insert("retry-after", time.parse().unwrap())),
@@ -221,7 +221,7 @@
     }
     let words = expected(cx.cfg.seed, &body);
     let prompt = body["messages"].to_string();
-    let (prompt_tokens, cached) = admit(&cx, &attempt, &prompt, words.len());
+    let (prompt_tokens, cached) = record_start(&cx, &attempt, &prompt, words.len());
     let tokens = (prompt_tokens + words.len()) as u64;
     let mut running = Running {
         state: cx.state.clone(),
@@ -236,8 +236,8 @@
         Fault::DieBefore => return Err(http::cut()),
         Fault::Hang => std::future::pending().await,
         Fault::EndOn(text) if prompt.contains(text) => {
-            cx.ending.send_replace(true);
-            cx.life.wait().abort();
+            cx.ended_tx.send_replace(true);
+            cx.server_task.wait().abort();
             std::future::pending().await
         }
         _ => {}
@@ -259,7 +259,7 @@
         ));
     }
     for _ in &words {
-        pace(&cx).await;
+        wait_for_token(&cx).await;
     }
     running.done = true;
     Ok(http::json(
@@ -275,31 +275,31 @@
 
 /// Records the start of an attempt and returns the number of its prompt tokens and how many of them
 /// are cached.
-fn admit(cx: &Cx, attempt: &str, prompt: &str, answer: usize) -> (usize, usize) {
+fn record_start(cx: &Cx, attempt: &str, prompt: &str, answer_tokens: usize) -> (usize, usize) {
     let mut state = cx.state.lock().unwrap();
     *state.executed.entry(attempt.to_owned()).or_default() += 1;
     state.running += 1;
     let mut hash = cx.cfg.seed;
     let mut cached = 0;
     let mut prefix = true;
-    for block in prompt.as_bytes().chunks_exact(BLOCK) {
+    for block in prompt.as_bytes().chunks_exact(BLOCK_BYTES) {
         hash = xxh3_64_with_seed(block, hash);
         prefix &= state.cache.get(&hash).is_some();
-        cached += if prefix { BLOCK / 4 } else { 0 };
+        cached += if prefix { BLOCK_BYTES / 4 } else { 0 };
         state.cache.put(hash, ());
     }
     while state.cache.len() > state.cache_blocks {
         state.cache.pop_lru();
     }
-    let prompt = prompt.len() / 4;
-    state.tokens += (prompt + answer) as u64;
-    state.prompt_tokens += prompt as u64;
+    let prompt_tokens = prompt.len() / 4;
+    state.tokens += (prompt_tokens + answer_tokens) as u64;
+    state.prompt_tokens += prompt_tokens as u64;
     state.cached_tokens += cached as u64;
-    (prompt, cached)
+    (prompt_tokens, cached)
 }
 
 /// Waits for the time of one token, which grows with the number of running requests.
-async fn pace(cx: &Cx) {
+async fn wait_for_token(cx: &Cx) {
     if cx.cfg.token_time > Duration::ZERO {
         let running = cx.state.lock().unwrap().running;
         tokio::time::sleep(cx.cfg.token_time * (8 + running) / 8).await;
@@ -344,7 +344,7 @@
         if i > 0 {
             let _ = cx.gate.wait_for(|open| *open).await;
         }
-        pace(&cx).await;
+        wait_for_token(&cx).await;
         match fault {
             Fault::DieAfter(n) if i >= n => Some((Err(http::cut()), None)),
             _ => Some((Ok(Bytes::from(text)), Some((cx, running, events)))),
--- a/tests/support/hosted.rs
+++ b/tests/support/hosted.rs
@@ -14,7 +14,7 @@
 use scaleford_platform::{PlatformStore, WatchScope};
 use tokio::sync::{mpsc, oneshot};
 
-type Question = Box<dyn FnOnce(&Gateway) + Send>;
+type Query = Box<dyn FnOnce(&Gateway) + Send>;
 
 /// Addresses on which a router listens.
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,7 @@
 pub struct Hosted {
     pub vm: VmId,
     addresses: Addresses,
-    questions: mpsc::UnboundedSender<Question>,
+    queries: mpsc::UnboundedSender<Query>,
     stop: mpsc::Sender<()>,
     stopped: Option<oneshot::Receiver<StopReport>>,
     kill: Option<oneshot::Sender<()>>,
@@ -46,7 +46,7 @@
 impl Hosted {
     pub async fn start(cfg: Settings) -> Self {
         let vm = cfg.vm.clone();
-        let (questions, asked) = mpsc::unbounded_channel();
+        let (queries, query_rx) = mpsc::unbounded_channel();
         let (stop, stop_rx) = mpsc::channel(1);
         let (started_tx, started) = oneshot::channel();
         let (stopped_tx, stopped) = oneshot::channel();
@@ -57,10 +57,10 @@
                 .build()
                 .expect("runtime");
             let local = tokio::task::LocalSet::new();
-            let life = live(cfg, asked, stop_rx, started_tx, stopped_tx);
+            let router = run_router(cfg, query_rx, stop_rx, started_tx, stopped_tx);
             local.block_on(&runtime, async {
                 tokio::select! {
-                    () = life => {}
+                    () = router => {}
                     _ = killed => {}
                 }
             });
@@ -68,7 +68,7 @@
         Self {
             vm,
             addresses: started.await.expect("router starts"),
-            questions,
+            queries,
             stop,
             stopped: Some(stopped),
             kill: Some(kill),
@@ -81,35 +81,35 @@
     }
 
     /// Runs a query on the router's thread and returns its result.
-    fn ask<T: Send + 'static>(&self, question: impl FnOnce(&Gateway) -> T + Send + 'static) -> T {
+    fn query<T: Send + 'static>(&self, query: impl FnOnce(&Gateway) -> T + Send + 'static) -> T {
         let (tx, rx) = std::sync::mpsc::channel();
-        let asked = Box::new(move |g: &Gateway| drop(tx.send(question(g))));
-        assert!(self.questions.send(asked).is_ok(), "the router runs");
+        let query = Box::new(move |g: &Gateway| drop(tx.send(query(g))));
+        assert!(self.queries.send(query).is_ok(), "the router runs");
         rx.recv().expect("the router answers")
     }
 
     pub fn is_ready(&self) -> bool {
-        self.ask(Gateway::is_ready)
+        self.query(Gateway::is_ready)
     }
 
     pub fn revision(&self) -> Revision {
-        self.ask(Gateway::revision)
+        self.query(Gateway::revision)
     }
 
     pub fn reverts_refused(&self) -> u64 {
-        self.ask(Gateway::reverts_refused)
+        self.query(Gateway::reverts_refused)
     }
 
     pub fn control_bytes(&self) -> u64 {
-        self.ask(Gateway::control_bytes)
+        self.query(Gateway::control_bytes)
     }
 
     pub fn claim_bytes(&self) -> u64 {
-        self.ask(Gateway::claim_bytes)
+        self.query(Gateway::claim_bytes)
     }
 
     pub fn hop_spans(&self) -> u64 {
-        self.ask(Gateway::hop_spans)
+        self.query(Gateway::hop_spans)
     }
 
     /// Stops the router gracefully and returns its report.
@@ -120,9 +120,9 @@
     }
 }
 
-async fn live(
+async fn run_router(
     cfg: Settings,
-    mut asked: mpsc::UnboundedReceiver<Question>,
+    mut query_rx: mpsc::UnboundedReceiver<Query>,
     stop: mpsc::Receiver<()>,
     started: oneshot::Sender<Addresses>,
     stopped: oneshot::Sender<StopReport>,
@@ -147,9 +147,9 @@
     };
     started.send(addresses).expect("the test waits");
     let (_reload, reload) = mpsc::channel(1);
-    let answering = async {
-        while let Some(question) = asked.recv().await {
-            question(&gateway);
+    let answer_queries = async {
+        while let Some(query) = query_rx.recv().await {
+            query(&gateway);
         }
     };
     let serving = listening.serve(Signals { stop, reload });
@@ -157,5 +157,5 @@
         // The receiver of the report may have been dropped.
         let _ = stopped.send(serving.await);
     };
-    tokio::join!(serving, answering);
+    tokio::join!(serving, answer_queries);
 }
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -12,7 +12,7 @@
 };
 
 /// Number of calls after which each of two engines has almost certainly received one.
-const MANY: usize = 20;
+const CALLS_TO_REACH_BOTH: usize = 20;
 
 async fn ask(fleet: &Fleet, text: &str) -> Outcome {
     let body = chat_body(MODEL, &[("user", text.to_owned())], 4, true);
@@ -49,7 +49,7 @@
         n += 1;
         assert!(ask(&fleet, &format!("chat {n}")).await.finished);
     }
-    for n in 0..MANY {
+    for n in 0..CALLS_TO_REACH_BOTH {
         assert!(ask(&fleet, &format!("later chat {n}")).await.finished);
     }
     assert_eq!(runs(&fleet, 0), 1);
@@ -63,7 +63,7 @@
 #[case::a_long_time("7200", 503, Some(7_200))]
 #[case::no_time("Wed, 02 Dec 2026 07:28:00 GMT", 200, None)]
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_hear_how_long_no_engine_wants_calls(
+async fn routers_show_how_long_no_engine_accepts_calls(
     #[case] time: &'static str,
     #[case] status: u16,
     #[case] left_s: Option<u64>,
