--- a/examples/demo/chats.rs
+++ b/examples/demo/chats.rs
@@ -1,4 +1,4 @@
-//! Chats that return, and the unrepeatable calls that some of them make.
+//! Chats of several turns, and the calls that must not be repeated that some of them make.
 
 use std::{
     net::SocketAddr,
@@ -19,13 +19,13 @@
     },
 };
 
-/// Turns after which a chat begins anew.
+/// Number of turns after which a new chat begins.
 const TURNS: usize = 8;
 
-/// How often a call that did not run is sent again.
+/// Maximum number of attempts of a call that did not run.
 const AGAIN: u32 = 6;
 
-/// Lives one chat after another until the time is over.
+/// Runs one chat after another until a deadline.
 pub async fn run(world: Arc<World>, n: usize, mut rng: Pcg64, until: Instant) {
     let key = if n.is_multiple_of(2) {
         KEY
@@ -77,7 +77,8 @@
     outcome
 }
 
-/// Sends a bid confirmation until it ran or its fate is known to be unknown.
+/// Sends a bid confirmation until it ran, until a response says that its outcome is unknown, or
+/// until all attempts are used up.
 async fn confirm(world: &World, caller: &Caller, rng: &mut Pcg64, key: &str) {
     let path = format!("/services/{SERVICE}/confirm");
     let mut fate = Fate::default();
@@ -105,7 +106,7 @@
     world.note_confirm(key, fate);
 }
 
-/// A ready router's address, as the balancer would choose it.
+/// Returns the address of a random ready router, as a load balancer would choose it.
 async fn pick(world: &World, rng: &mut Pcg64) -> Option<SocketAddr> {
     let ready = world.ready.lock().expect("list").clone();
     ready.choose(rng).copied()
--- a/examples/demo/faults.rs
+++ b/examples/demo/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong while the chats run.
+//! Faults that are injected while the chats run.
 
 use std::{
     sync::Arc,
@@ -16,7 +16,7 @@
     },
 };
 
-/// How much goes wrong.
+/// How often faults are injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     None,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Breaks things until the time is over, then mends what can be mended.
+/// Injects faults until a deadline, then clears the fault of the store.
 pub async fn run(world: Arc<World>, kind: Kind, mut rng: Pcg64, until: Instant) {
     let pause = match kind {
         Kind::None => return,
@@ -132,7 +132,7 @@
     change(world, "an engine was replaced", edit).await;
 }
 
-/// Lets an engine leave, sees that it gets no new work, and takes it back.
+/// Makes an engine leave, counts new requests to it after a grace time, and lets it serve again.
 async fn leave_and_return(world: &Arc<World>, i: usize) {
     world.note_fault("engine_left");
     let fleet = world.fleet.lock().await;
@@ -145,7 +145,7 @@
     }
     let world = Arc::clone(world);
     tokio::spawn(async move {
-        // "A few seconds" is what a leaving target may still get work in.
+        // A leaving target may still get requests for "a few seconds".
         tokio::time::sleep(Duration::from_secs(3)).await;
         let before = state.lock().expect("engine").executed.len();
         tokio::time::sleep(Duration::from_secs(2)).await;
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,4 +1,5 @@
-//! A whole small fleet in one process, with returning chats, unrepeatable calls and faults.
+//! A small fleet in one process, with chats of several turns, calls that must not be repeated, and
+//! faults.
 //!
 //! `cargo run --release --locked --example demo`
 
@@ -25,25 +26,25 @@
 
 mod flags {
     xflags::xflags! {
-        /// Runs a whole small fleet on loopback and shows how it did.
+        /// Runs a small fleet on loopback and prints a report.
         cmd demo {
-            /// Routers [4].
+            /// Number of routers [4].
             optional --routers n: usize
-            /// Model engines [6].
+            /// Number of model engines [6].
             optional --engines n: usize
-            /// Runners of a plain service [2].
+            /// Number of runners of a plain service [2].
             optional --services n: usize
-            /// Chats that come and return [200].
+            /// Number of concurrent chats [200].
             optional --chats n: usize
-            /// What random choices follow from [1].
+            /// Seed of the random choices [1].
             optional --seed n: u64
-            /// none, some or many.
+            /// How often faults are injected: none, some or many [none].
             optional --faults kind: String
-            /// How long chats keep returning, at the least [15; 30 with faults].
+            /// Minimum time for which chats run, in seconds [15; 30 with faults].
             optional --seconds n: u64
-            /// Ends with one line of JSON.
+            /// Prints the report as one line of JSON at the end, too.
             optional --json
-            /// Keeps the fleet up until SIGTERM and prints its addresses as JSON.
+            /// Prints the addresses of the fleet as JSON, and runs it until SIGTERM.
             optional --serve
         }
     }
@@ -75,7 +76,7 @@
     }
 }
 
-/// Keeps the fleet up until it is told to end.
+/// Keeps the fleet running until SIGTERM or Ctrl-C.
 async fn serve(mut fleet: Fleet) {
     let callers: Vec<_> = fleet
         .live()
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo counts, and how it finds out what truly ran.
+//! The counts of the demo, and the check of them against what the targets executed.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -13,10 +13,10 @@
 
 use crate::support::{caller::Outcome, engine::Engine, fleet::Fleet};
 
-/// How often loads and revisions are looked at.
+/// Interval between two samples of loads and revisions.
 const SAMPLE: Duration = Duration::from_millis(100);
 
-/// What became of an unrepeatable call over all its tries.
+/// Outcome of all attempts of a call that must not be repeated.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Fate {
     tries: u32,
@@ -32,10 +32,10 @@
     }
 }
 
-/// The running demo.
+/// The fleet of the running demo, and what was counted so far.
 pub struct World {
     pub fleet: Mutex<Fleet>,
-    /// The routers that the balancer sends to.
+    /// Addresses of the routers that the load balancer sends calls to.
     pub ready: SyncMutex<Vec<SocketAddr>>,
     began: Instant,
     counts: SyncMutex<Counts>,
@@ -66,7 +66,7 @@
     times: Option<Histogram<u64>>,
 }
 
-/// The end of the demo.
+/// Results of the demo.
 #[derive(Serialize)]
 pub struct Report {
     requests: u64,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes a router off the balancer's list.
+    /// Removes a router from the load balancer's list.
     pub fn forget(&self, at: SocketAddr) {
         self.ready.lock().expect("list").retain(|a| *a != at);
     }
@@ -160,7 +160,7 @@
             }
             o if o.cut => {
                 counts.cut_off += 1;
-                // What came before the cut must be the beginning of the right answer.
+                // The part that arrived before the cut must be a prefix of the right answer.
                 counts.wrong_answers += u64::from(!right.starts_with(&o.text));
             }
             _ => counts.unknown += 1,
@@ -171,7 +171,7 @@
         self.counts().confirms.insert(key.to_owned(), fate);
     }
 
-    /// Remembers what an engine that goes away executed.
+    /// Adds the requests that an engine executed to the counts.
     pub fn keep_executed(&self, engine: &Engine) {
         let state = engine.state.lock().expect("engine");
         self.counts()
@@ -184,7 +184,7 @@
     }
 }
 
-/// Looks at the fleet again and again: who is ready, loads, revisions.
+/// Samples the ready routers, loads and revisions at a fixed interval, and prints the progress.
 pub async fn watch(world: std::sync::Arc<World>) {
     let mut told = Instant::now();
     loop {
@@ -224,7 +224,8 @@
         .iter()
         .map(|e| e.state.lock().expect("engine").running);
     let mut counts = world.counts();
-    // Below a few requests an engine the bound says nothing: one may always run.
+    // With fewer than a few requests per engine the bound is meaningless, as an engine may always
+    // run one.
     if running.sum::<u32>() as usize >= fleet.engines.len() * 4 {
         counts.samples += 1;
         counts.skew_worst = counts.skew_worst.max(worst / mean);
@@ -240,7 +241,7 @@
     }
 }
 
-/// Asks all targets what they executed, and adds up.
+/// Collects what all targets executed, and computes the report.
 pub async fn finish(world: &World) -> Report {
     let fleet = world.fleet.lock().await;
     for engine in &fleet.engines {
@@ -302,7 +303,7 @@
 }
 
 impl Report {
-    /// Whether what must always hold did.
+    /// Returns whether all guarantees held.
     pub fn promises_held(&self) -> bool {
         self.wrong_answers == 0
             && self.cut_off_by_planned_stop == 0
@@ -313,7 +314,7 @@
             && self.new_work_to_left_targets == 0
     }
 
-    /// The report for people.
+    /// Returns the report as a table of text.
     pub fn table(&self) -> String {
         let rows = [
             ("requests", self.requests.to_string()),
@@ -323,7 +324,7 @@
                 format!("{} / {} / {}", self.not_run, self.unknown, self.cut_off),
             ),
             ("wrong answers", self.wrong_answers.to_string()),
-            ("told not run, but ran", self.not_run_but_ran.to_string()),
+            ("marked not run, but ran", self.not_run_but_ran.to_string()),
             ("unrepeatable calls", self.unrepeatable_calls.to_string()),
             ("ran twice", self.ran_twice.to_string()),
             (
--- a/examples/log_report.rs
+++ b/examples/log_report.rs
@@ -1,8 +1,8 @@
-//! What a day's logs say of calls that were not served and of prompts that were read again.
+//! Reports, from a day's logs, calls that were not served and prompts that were read again.
 //!
-//! `cargo run --release --locked --example log_report -- FILE...` with the JSON lines of all routers; what
-//! stands before a line's brace is passed over, but for a number at its beginning, which is taken as the time
-//! in seconds.
+//! `cargo run --release --locked --example log_report -- FILE...` with the JSON lines of all
+//! routers. Text before a line's opening brace is ignored, except for a number at its beginning,
+//! which is the time in seconds.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -11,7 +11,8 @@
 
 use serde::Deserialize;
 
-/// Tokens below which a prompt that is read again is none: the caller's own part.
+/// Maximum number of missing tokens that count as the caller's own part, not as a prompt that is
+/// read again.
 const OWN_TOKENS: u64 = 300;
 
 #[derive(Debug, Default, Deserialize)]
@@ -42,14 +43,15 @@
     }
 }
 
-/// Why a prompt that some router had had read before was read again.
+/// Why a target read a prompt that another target had read before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
-    /// A target that had read it was listed, so its hint or the way there was missing, or it was down.
+    /// A target that had read it was listed: the hint or the route to it was missing, or it was
+    /// down.
     HolderListed,
-    /// Only targets that leave had read it.
+    /// All listed targets that had read it were leaving.
     HoldersLeave,
-    /// The entries of all that had read it were gone.
+    /// The entries of all targets that had read it were removed.
     HoldersGone,
 }
 
@@ -66,7 +68,8 @@
     })
 }
 
-/// When each target first left, or was gone.
+/// Returns when a verdict, such as `leaving` or `gone`, was first logged for each target, in
+/// seconds.
 fn first<'a>(lines: &'a [Timed], verdict: &str) -> HashMap<&'a str, f64> {
     let mut at = HashMap::new();
     for t in lines.iter().filter(|t| t.line.msg == "target") {
@@ -142,7 +145,7 @@
 fn main() -> ExitCode {
     let files: Vec<String> = std::env::args().skip(1).collect();
     if files.is_empty() {
-        eprintln!("no file of log lines is named");
+        eprintln!("no log file given");
         return ExitCode::from(2);
     }
     let mut lines = Vec::new();
--- a/examples/path.rs
+++ b/examples/path.rs
@@ -1,8 +1,10 @@
-//! What the path costs: an engine asked directly, and through a router.
+//! Measures the cost of the path through a router: calls to an engine directly, and through a
+//! router.
 //!
 //! `cargo run --release --locked --example path`
-//! A router works on one thread. Everything runs in one process, so the figures hold the stand-ins' and the caller's cost too;
-//! the ratios say what a hop adds.
+//!
+//! A router works on one thread. Everything runs in one process, so the figures include the cost of
+//! the simulated engine and of the caller; the ratios show what a hop adds.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -20,11 +22,17 @@
     fleet::{Fleet, MODEL, Plan},
 };
 
+/// Number of calls before the measurement.
 const WARM: usize = 500;
+/// Number of short calls that are measured.
 const CALLS: usize = 4_000;
+/// Number of streamed calls that are measured.
 const STREAMS: usize = 200;
+/// Number of chunks of a streamed call.
 const CHUNKS: u64 = 500;
+/// Number of concurrent callers while the rate is measured.
 const AT_ONCE: usize = 32;
+/// Number of streams that are open at once while memory is measured.
 const OPEN_STREAMS: usize = 1_000;
 
 #[tokio::main]
@@ -89,7 +97,8 @@
     calls as f64 / began.elapsed().as_secs_f64()
 }
 
-/// Memory of open streams, with the engine's and the caller's ends in the same process.
+/// Measures the memory of an open stream. It includes the engine's and the caller's ends, which are
+/// in the same process.
 async fn open_streams(fleet: &Fleet) {
     fleet.engines[0].set_gate(false);
     let before = rss_kb();
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -1,4 +1,5 @@
-//! The slopes behind docs/CAPACITY.md, measured on this machine.
+//! Measures on this machine the costs per unit, such as per target or per daemon, that
+//! docs/CAPACITY.md uses.
 //!
 //! `cargo build --release --locked && cargo run --release --locked --example slopes`
 
@@ -118,7 +119,7 @@
     println!("accounts: finding a key among {ACCOUNTS}: {took:.0} ns");
 }
 
-/// The time of a decision, by how many targets a model has.
+/// Measures the time of a placement decision by the number of targets of a model.
 fn placement() {
     let rules = scaleford::edge::Rules {
         revoke_bound: None,
@@ -176,7 +177,7 @@
     }
 }
 
-/// Entries of targets: what a router does with a list of them, and with changes that come together.
+/// Measures the time in which a router applies a list of targets' entries, and a batch of changes.
 fn entries() {
     let targets = 3_000;
     let record = |n: usize, slots: u32| TargetRecord {
@@ -222,7 +223,7 @@
     );
 }
 
-/// A chat's third turn.
+/// Returns the plan of the third turn of a chat.
 fn turn(chat: u64) -> CallPlan {
     let part = |id, tokens| PromptPart {
         id: PartId(id),
@@ -245,7 +246,7 @@
     }
 }
 
-/// The memory of what a router remembers of prompts.
+/// Measures the memory of a router's record of cached prompt parts.
 fn prompts() {
     let before = rss_kb();
     let mut cache = PromptCache::default();
@@ -276,7 +277,7 @@
     }
 }
 
-/// Idle daemons as processes: memory, processor time, control traffic.
+/// Measures memory, CPU time and control traffic of idle daemons that run as processes.
 async fn daemons(n: usize) {
     let free = || {
         TcpListener::bind("127.0.0.1:0")
@@ -331,7 +332,7 @@
     spread(&all).await;
 }
 
-/// The time from a change's acceptance until it is in force at every daemon.
+/// Measures the time from the acceptance of a change until it is in force at every daemon.
 async fn spread(all: &[Daemon]) {
     let mut times = Vec::new();
     for i in 0..CHANGES {
@@ -369,7 +370,7 @@
     sum
 }
 
-/// Processor time of all daemons, in hundredths of a second.
+/// Returns the CPU time of all daemons, in hundredths of a second.
 fn ticks(all: &[Daemon]) -> u64 {
     let of = |d: &Daemon| -> u64 {
         let stat =
@@ -386,7 +387,7 @@
     all.iter().map(of).sum()
 }
 
-/// The mean time of a call, in nanoseconds.
+/// Returns the mean time of a call of `f`, in nanoseconds.
 fn time(n: u32, mut f: impl FnMut()) -> f64 {
     let began = Clock::now();
     (0..n).for_each(|_| f());
--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process: an engine, a plain service, or the store.
+//! Runs a simulated engine, plain service or store as a process.
 //!
 //! `cargo run --release --locked --example standin -- engine --listen 127.0.0.1:0`
 
@@ -15,19 +15,19 @@
 
 mod flags {
     xflags::xflags! {
-        /// Runs one stand-in and prints its address as a line of JSON.
+        /// Runs a simulated engine, service or store, and prints its address as a line of JSON.
         cmd standin {
-            /// Where to listen.
+            /// Address to listen at.
             optional --listen listen: String
             /// A model engine.
             cmd engine {
-                /// What its answers follow from.
+                /// Seed of its answers.
                 optional --seed seed: u64
-                /// Prompt tokens that its cache holds.
+                /// Capacity of its cache, in prompt tokens.
                 optional --cache-tokens tokens: usize
-                /// Time for a token, in microseconds.
+                /// Time to generate a token, in microseconds.
                 optional --token-us us: u64
-                /// Time for an uncached prompt token, in microseconds.
+                /// Time to read an uncached prompt token, in microseconds.
                 optional --prefill-us us: u64
             }
             /// A plain service.
