--- a/examples/demo/faults.rs
+++ b/examples/demo/faults.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64;
 
 use crate::{
-    report::World,
+    report::TestEnv,
     support::{
         engine::{Engine, Fault},
         store::StoreFault,
@@ -18,13 +18,13 @@
 
 /// How often faults are injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultRate {
     None,
     Some,
     Many,
 }
 
-impl std::str::FromStr for Kind {
+impl std::str::FromStr for FaultRate {
     type Err = String;
 
     fn from_str(s: &str) -> Result<Self, String> {
@@ -38,43 +38,42 @@
 }
 
 /// Injects faults until a deadline, then clears the fault of the store.
-pub async fn run(world: Arc<World>, kind: Kind, mut rng: Pcg64, until: Instant) {
-    let pause = match kind {
-        Kind::None => return,
-        Kind::Some => 3_000,
-        Kind::Many => 700,
+pub async fn run(env: Arc<TestEnv>, rate: FaultRate, mut rng: Pcg64, deadline: Instant) {
+    let pause = match rate {
+        FaultRate::None => return,
+        FaultRate::Some => 3_000,
+        FaultRate::Many => 700,
     };
     loop {
         let wait = rng.random_range(pause / 2..pause * 2);
         tokio::time::sleep(Duration::from_millis(wait)).await;
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             break;
         }
-        one(&world, &mut rng).await;
+        inject_random_fault(&env, &mut rng).await;
     }
-    world
-        .fleet
+    env.fleet
         .lock()
         .await
         .store
         .set_fault(StoreFault::default());
 }
 
-async fn one(world: &Arc<World>, rng: &mut Pcg64) {
+async fn inject_random_fault(env: &Arc<TestEnv>, rng: &mut Pcg64) {
     let n = rng.random_range(0..9);
     let i = rng.random_range(0..64);
     match n {
-        0 => kill_router(world, i).await,
-        1 => stop_router(world, i).await,
-        2 => replace_engine(world, i).await,
-        3 => leave_and_return(world, i).await,
+        0 => kill_router(env, i).await,
+        1 => stop_router(env, i).await,
+        2 => replace_engine(env, i).await,
+        3 => leave_and_return(env, i).await,
         4 => {
             let down = StoreFault {
                 down: true,
                 ..StoreFault::default()
             };
-            store_for(
-                world,
+            inject_store_fault(
+                env,
                 "store_down",
                 down,
                 Duration::from_millis(rng.random_range(500..3_000)),
@@ -85,29 +84,29 @@
                 lose_answers: rng.random_range(1..8),
                 ..StoreFault::default()
             };
-            store_for(world, "answers_lost", lost, Duration::from_secs(2));
+            inject_store_fault(env, "answers_lost", lost, Duration::from_secs(2));
         }
-        6 => engine_for(world, i, "engine_refuses", Fault::Refuse).await,
-        7 => engine_for(world, i, "engine_dies_early", Fault::DieBefore).await,
-        _ => engine_for(world, i, "engine_dies_late", Fault::DieAfter(3)).await,
+        6 => inject_engine_fault(env, i, "engine_refuses", Fault::Refuse).await,
+        7 => inject_engine_fault(env, i, "engine_dies_early", Fault::DieBefore).await,
+        _ => inject_engine_fault(env, i, "engine_dies_late", Fault::DieAfter(3)).await,
     }
 }
 
-async fn kill_router(world: &Arc<World>, i: usize) {
-    world.note_fault("router_killed");
-    let mut fleet = world.fleet.lock().await;
+async fn kill_router(env: &Arc<TestEnv>, i: usize) {
+    env.record_fault("router_killed");
+    let mut fleet = env.fleet.lock().await;
     let i = i % fleet.routers.len();
-    world.forget(fleet.callers_at(i));
+    env.remove_ready(fleet.callers_at(i));
     drop(fleet.routers[i].take());
     let router = fleet.start_router(i).await;
     fleet.routers[i] = Some(router);
 }
 
-async fn stop_router(world: &Arc<World>, i: usize) {
-    world.note_fault("router_stopped");
-    let mut fleet = world.fleet.lock().await;
+async fn stop_router(env: &Arc<TestEnv>, i: usize) {
+    env.record_fault("router_stopped");
+    let mut fleet = env.fleet.lock().await;
     let i = i % fleet.routers.len();
-    world.forget(fleet.callers_at(i));
+    env.remove_ready(fleet.callers_at(i));
     let Some(old) = fleet.routers[i].take() else {
         return;
     };
@@ -115,49 +114,49 @@
     fleet.routers[i] = Some(router);
     drop(fleet);
     let report = old.stop().await;
-    world.note_stop(report.cut_off);
+    env.record_stop(report.cut_off);
 }
 
-async fn replace_engine(world: &Arc<World>, i: usize) {
-    world.note_fault("engine_replaced");
-    let mut fleet = world.fleet.lock().await;
+async fn replace_engine(env: &Arc<TestEnv>, i: usize) {
+    env.record_fault("engine_replaced");
+    let mut fleet = env.fleet.lock().await;
     let i = i % fleet.engines.len();
     let cfg = fleet.plan.engine.clone();
     let engine = Engine::start("127.0.0.1:0", cfg).await;
     let old = std::mem::replace(&mut fleet.engines[i], engine);
-    world.keep_executed(&old);
+    env.record_executed(&old);
     drop(old);
     let edit = fleet.engine_edit(i, "serve");
     drop(fleet);
-    change(world, "an engine was replaced", edit).await;
+    change(env, "an engine was replaced", edit).await;
 }
 
 /// Makes an engine leave, counts new requests to it after a grace time, and lets it serve again.
-async fn leave_and_return(world: &Arc<World>, i: usize) {
-    world.note_fault("engine_left");
-    let fleet = world.fleet.lock().await;
+async fn leave_and_return(env: &Arc<TestEnv>, i: usize) {
+    env.record_fault("engine_left");
+    let fleet = env.fleet.lock().await;
     let i = i % fleet.engines.len();
     let (leave, serve) = (fleet.engine_edit(i, "leave"), fleet.engine_edit(i, "serve"));
     let state = fleet.engines[i].state.clone();
     drop(fleet);
-    if !change(world, "an engine leaves", leave).await {
+    if !change(env, "an engine leaves", leave).await {
         return;
     }
-    let world = Arc::clone(world);
+    let env = Arc::clone(env);
     tokio::spawn(async move {
         // A leaving target may still get requests for "a few seconds".
         tokio::time::sleep(Duration::from_secs(3)).await;
         let before = state.lock().expect("engine").executed.len();
         tokio::time::sleep(Duration::from_secs(2)).await;
         let after = state.lock().expect("engine").executed.len();
-        world.note_left(after.saturating_sub(before) as u64);
-        change(&world, "an engine returns", serve).await;
+        env.record_left(after.saturating_sub(before) as u64);
+        change(&env, "an engine returns", serve).await;
     });
 }
 
-async fn change(world: &World, reason: &str, edit: serde_json::Value) -> bool {
+async fn change(env: &TestEnv, reason: &str, edit: serde_json::Value) -> bool {
     let at = {
-        let fleet = world.fleet.lock().await;
+        let fleet = env.fleet.lock().await;
         fleet.live().next().map(|r| r.addresses().operators)
     };
     let Some(at) = at else { return false };
@@ -168,18 +167,17 @@
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    world.note_fault("change_not_accepted");
+    env.record_fault("change_not_accepted");
     false
 }
 
-fn store_for(world: &Arc<World>, name: &'static str, fault: StoreFault, time: Duration) {
-    world.note_fault(name);
-    let world = Arc::clone(world);
+fn inject_store_fault(env: &Arc<TestEnv>, name: &'static str, fault: StoreFault, time: Duration) {
+    env.record_fault(name);
+    let env = Arc::clone(env);
     tokio::spawn(async move {
-        world.fleet.lock().await.store.set_fault(fault);
+        env.fleet.lock().await.store.set_fault(fault);
         tokio::time::sleep(time).await;
-        world
-            .fleet
+        env.fleet
             .lock()
             .await
             .store
@@ -187,9 +185,9 @@
     });
 }
 
-async fn engine_for(world: &Arc<World>, i: usize, name: &'static str, fault: Fault) {
-    world.note_fault(name);
-    let fleet = world.fleet.lock().await;
+async fn inject_engine_fault(env: &Arc<TestEnv>, i: usize, name: &'static str, fault: Fault) {
+    env.record_fault(name);
+    let fleet = env.fleet.lock().await;
     let i = i % fleet.engines.len();
     fleet.engines[i].set_fault(fault);
     let service = (!fleet.services.is_empty()).then(|| i % fleet.services.len());
@@ -197,10 +195,10 @@
         fleet.services[s].set_fault(fault);
     }
     drop(fleet);
-    let world = Arc::clone(world);
+    let env = Arc::clone(env);
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(700)).await;
-        let fleet = world.fleet.lock().await;
+        let fleet = env.fleet.lock().await;
         fleet.engines[i].set_fault(Fault::None);
         if let Some(s) = service {
             fleet.services[s].set_fault(Fault::None);
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -104,32 +104,36 @@
 
 async fn run(fleet: Fleet, flags: &flags::Demo) {
     let faults = flags.faults.as_deref().unwrap_or("none").to_owned();
-    let kind = faults.parse().unwrap_or_else(|e: String| {
+    let rate = faults.parse().unwrap_or_else(|e: String| {
         eprintln!("demo: --faults: {e}");
         std::process::exit(2);
     });
-    let usual = if kind == faults::Kind::None { 15 } else { 30 };
-    let seconds = flags.seconds.unwrap_or(usual);
-    let until = Instant::now() + Duration::from_secs(seconds);
+    let default_seconds = if rate == faults::FaultRate::None {
+        15
+    } else {
+        30
+    };
+    let seconds = flags.seconds.unwrap_or(default_seconds);
+    let deadline = Instant::now() + Duration::from_secs(seconds);
     let seed = flags.seed.unwrap_or(1);
-    let world = Arc::new(report::World::new(Mutex::new(fleet)));
+    let env = Arc::new(report::TestEnv::new(Mutex::new(fleet)));
     let mut tasks = tokio::task::JoinSet::new();
     let mut rng = Pcg64::seed_from_u64(seed);
     for i in 0..flags.chats.unwrap_or(200) {
         let rng = Pcg64::seed_from_u64(rng.random());
-        tasks.spawn(chats::run(Arc::clone(&world), i, rng, until));
+        tasks.spawn(chats::run(Arc::clone(&env), i, rng, deadline));
     }
-    let watcher = tokio::spawn(report::watch(Arc::clone(&world)));
-    let breaker = tokio::spawn(faults::run(Arc::clone(&world), kind, rng, until));
+    let watcher = tokio::spawn(report::watch(Arc::clone(&env)));
+    let injector = tokio::spawn(faults::run(Arc::clone(&env), rate, rng, deadline));
     while tasks.join_next().await.is_some() {}
-    breaker.await.expect("faults end");
+    injector.await.expect("faults end");
     watcher.abort();
-    let report = report::finish(&world).await;
+    let report = report::finish(&env).await;
     eprintln!("{}", report.table());
     if flags.json {
         println!("{}", serde_json::to_string(&report).expect("report"));
     }
-    if !report.promises_held() {
+    if !report.guarantees_held() {
         std::process::exit(1);
     }
 }
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -14,17 +14,17 @@
 use crate::support::{caller::Outcome, engine::Engine, fleet::Fleet};
 
 /// Interval between two samples of loads and revisions.
-const SAMPLE: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Outcome of all attempts of a call that must not be repeated.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Fate {
+pub struct AttemptSummary {
     tries: u32,
     not_run: u32,
     succeeded: bool,
 }
 
-impl Fate {
+impl AttemptSummary {
     pub fn add(&mut self, outcome: &Outcome) {
         self.tries += 1;
         self.not_run += u32::from(outcome.ran == "no");
@@ -33,11 +33,11 @@
 }
 
 /// The fleet of the running demo, and what was counted so far.
-pub struct World {
+pub struct TestEnv {
     pub fleet: Mutex<Fleet>,
     /// Addresses of the routers that the load balancer sends calls to.
     pub ready: SyncMutex<Vec<SocketAddr>>,
-    began: Instant,
+    started_at: Instant,
     counts: SyncMutex<Counts>,
 }
 
@@ -50,19 +50,19 @@
     unknown: u64,
     not_run: u64,
     not_run_ids: HashSet<String>,
-    confirms: HashMap<String, Fate>,
+    confirms: HashMap<String, AttemptSummary>,
     executed: HashSet<String>,
     prompt_tokens: u64,
     cached_tokens: u64,
     faults: BTreeMap<&'static str, u64>,
     codes: BTreeMap<u16, u64>,
-    cut_by_stop: u64,
-    work_to_left: u64,
+    cut_off_by_stop: u64,
+    requests_to_left_targets: u64,
     reverts: u64,
     revisions: HashMap<String, u64>,
-    skew_worst: f64,
+    max_skew: f64,
     samples: u64,
-    samples_above: u64,
+    samples_above_bound: u64,
     times: Option<Histogram<u64>>,
 }
 
@@ -102,7 +102,7 @@
     p95: f64,
 }
 
-impl World {
+impl TestEnv {
     pub fn new(fleet: Mutex<Fleet>) -> Self {
         let all = fleet.try_lock().expect("no one else has it yet");
         let ready = all.live().map(|r| r.addresses().callers).collect();
@@ -110,36 +110,36 @@
         Self {
             fleet,
             ready: SyncMutex::new(ready),
-            began: Instant::now(),
+            started_at: Instant::now(),
             counts: SyncMutex::default(),
         }
     }
 
     /// Removes a router from the load balancer's list.
-    pub fn forget(&self, at: SocketAddr) {
+    pub fn remove_ready(&self, at: SocketAddr) {
         self.ready.lock().expect("list").retain(|a| *a != at);
     }
 
-    pub fn note_fault(&self, name: &'static str) {
+    pub fn record_fault(&self, name: &'static str) {
         *self.counts().faults.entry(name).or_default() += 1;
     }
 
-    pub fn note_stop(&self, cut_off: u64) {
-        self.counts().cut_by_stop += cut_off;
+    pub fn record_stop(&self, cut_off: u64) {
+        self.counts().cut_off_by_stop += cut_off;
     }
 
-    pub fn note_left(&self, requests: u64) {
-        self.counts().work_to_left += requests;
+    pub fn record_left(&self, requests: u64) {
+        self.counts().requests_to_left_targets += requests;
     }
 
-    pub fn note_time(&self, time: Duration) {
+    pub fn record_time(&self, time: Duration) {
         let mut counts = self.counts();
         let new = || Histogram::new_with_max(600_000_000, 3).expect("histogram");
         let times = counts.times.get_or_insert_with(new);
         times.saturating_record(time.as_micros() as u64);
     }
 
-    pub fn note_chat(&self, outcome: &Outcome, right: &str, returning: bool) {
+    pub fn record_chat(&self, outcome: &Outcome, right: &str, returning: bool) {
         let mut counts = self.counts();
         counts.requests += 1;
         if outcome.code > 0 {
@@ -167,12 +167,12 @@
         }
     }
 
-    pub fn note_confirm(&self, key: &str, fate: Fate) {
-        self.counts().confirms.insert(key.to_owned(), fate);
+    pub fn record_confirm(&self, key: &str, summary: AttemptSummary) {
+        self.counts().confirms.insert(key.to_owned(), summary);
     }
 
     /// Adds the requests that an engine executed to the counts.
-    pub fn keep_executed(&self, engine: &Engine) {
+    pub fn record_executed(&self, engine: &Engine) {
         let state = engine.state.lock().expect("engine");
         self.counts()
             .executed
@@ -185,21 +185,21 @@
 }
 
 /// Samples the ready routers, loads and revisions at a fixed interval, and prints the progress.
-pub async fn watch(world: std::sync::Arc<World>) {
-    let mut told = Instant::now();
+pub async fn watch(env: std::sync::Arc<TestEnv>) {
+    let mut printed_at = Instant::now();
     loop {
-        tokio::time::sleep(SAMPLE).await;
-        let fleet = world.fleet.lock().await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
+        let fleet = env.fleet.lock().await;
         let ready = fleet.live().filter(|r| r.is_ready());
-        *world.ready.lock().expect("list") = ready.map(|r| r.addresses().callers).collect();
-        sample(&world, &fleet);
+        *env.ready.lock().expect("list") = ready.map(|r| r.addresses().callers).collect();
+        sample(&env, &fleet);
         drop(fleet);
-        if told.elapsed() > Duration::from_secs(2) {
-            told = Instant::now();
-            let counts = world.counts();
+        if printed_at.elapsed() > Duration::from_secs(2) {
+            printed_at = Instant::now();
+            let counts = env.counts();
             eprintln!(
                 "{:>4} s  {} requests, {} answered, {} not run, {} unknown, {} cut, faults {:?}",
-                world.began.elapsed().as_secs(),
+                env.started_at.elapsed().as_secs(),
                 counts.requests,
                 counts.answered,
                 counts.not_run,
@@ -211,7 +211,7 @@
     }
 }
 
-fn sample(world: &World, fleet: &Fleet) {
+fn sample(env: &TestEnv, fleet: &Fleet) {
     let loads = fleet
         .engines
         .iter()
@@ -223,13 +223,13 @@
         .engines
         .iter()
         .map(|e| e.state.lock().expect("engine").running);
-    let mut counts = world.counts();
+    let mut counts = env.counts();
     // With fewer than a few requests per engine the bound is meaningless, as an engine may always
     // run one.
     if running.sum::<u32>() as usize >= fleet.engines.len() * 4 {
         counts.samples += 1;
-        counts.skew_worst = counts.skew_worst.max(worst / mean);
-        counts.samples_above += u64::from(worst / mean > 1.25);
+        counts.max_skew = counts.max_skew.max(worst / mean);
+        counts.samples_above_bound += u64::from(worst / mean > 1.25);
     }
     for router in fleet.live() {
         let vm = router.vm.to_string();
@@ -242,12 +242,12 @@
 }
 
 /// Collects what all targets executed, and computes the report.
-pub async fn finish(world: &World) -> Report {
-    let fleet = world.fleet.lock().await;
+pub async fn finish(env: &TestEnv) -> Report {
+    let fleet = env.fleet.lock().await;
     for engine in &fleet.engines {
-        world.keep_executed(engine);
+        env.record_executed(engine);
     }
-    let seconds = world.began.elapsed().as_secs_f64();
+    let seconds = env.started_at.elapsed().as_secs_f64();
     let mut runs: HashMap<String, u32> = HashMap::new();
     for service in &fleet.services {
         for (key, n) in service.executed.lock().expect("service").iter() {
@@ -258,14 +258,15 @@
     let claims: u64 = fleet.live().map(|r| r.claim_bytes()).sum();
     let hop_spans = fleet.live().map(|r| r.hop_spans()).sum();
     let (store_reads, store_writes) = fleet.store.calls();
-    let counts = world.counts();
+    let counts = env.counts();
     let ran = |id: &String| counts.executed.iter().any(|a| a.starts_with(id.as_str()));
-    let wrongly = |(key, fate): &(&String, &Fate)| {
-        fate.tries == fate.not_run && runs.get(*key).is_some_and(|n| *n > 0)
+    let ran_despite_not_run = |(key, summary): &(&String, &AttemptSummary)| {
+        summary.tries == summary.not_run && runs.get(*key).is_some_and(|n| *n > 0)
     };
-    let lost = |(key, fate): &(&String, &Fate)| fate.succeeded && !runs.contains_key(*key);
-    let chats_wrongly = counts.not_run_ids.iter().filter(|id| ran(id)).count();
-    let calls_wrongly = counts.confirms.iter().filter(wrongly).count();
+    let lost =
+        |(key, summary): &(&String, &AttemptSummary)| summary.succeeded && !runs.contains_key(*key);
+    let chats_that_ran = counts.not_run_ids.iter().filter(|id| ran(id)).count();
+    let calls_that_ran = counts.confirms.iter().filter(ran_despite_not_run).count();
     let time = |q| {
         let times = counts.times.as_ref();
         times.map_or(0.0, |t| t.value_at_quantile(q) as f64 / 1000.0)
@@ -275,17 +276,17 @@
         answered: counts.answered,
         wrong_answers: counts.wrong_answers,
         cut_off: counts.cut_off,
-        cut_off_by_planned_stop: counts.cut_by_stop,
+        cut_off_by_planned_stop: counts.cut_off_by_stop,
         not_run: counts.not_run,
-        not_run_but_ran: (chats_wrongly + calls_wrongly) as u64,
+        not_run_but_ran: (chats_that_ran + calls_that_ran) as u64,
         unknown: counts.unknown,
         unrepeatable_calls: counts.confirms.len(),
         ran_twice: runs.values().filter(|n| **n > 1).count(),
         confirmed_but_not_run: counts.confirms.iter().filter(lost).count(),
         config_reverts: counts.reverts,
-        new_work_to_left_targets: counts.work_to_left,
-        skew: counts.skew_worst,
-        samples_above_bound: counts.samples_above as f64 / counts.samples.max(1) as f64,
+        new_work_to_left_targets: counts.requests_to_left_targets,
+        skew: counts.max_skew,
+        samples_above_bound: counts.samples_above_bound as f64 / counts.samples.max(1) as f64,
         reuse: counts.cached_tokens as f64 / counts.prompt_tokens.max(1) as f64,
         control_bytes_per_router_s: control as f64 / seconds / fleet.live().count().max(1) as f64,
         claim_bytes_per_call: claims as f64 / counts.confirms.len().max(1) as f64,
@@ -304,7 +305,7 @@
 
 impl Report {
     /// Returns whether all guarantees held.
-    pub fn promises_held(&self) -> bool {
+    pub fn guarantees_held(&self) -> bool {
         self.wrong_answers == 0
             && self.cut_off_by_planned_stop == 0
             && self.not_run_but_ran == 0
--- a/examples/log_report.rs
+++ b/examples/log_report.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of missing tokens that count as the caller's own part, not as a prompt that is
 /// read again.
-const OWN_TOKENS: u64 = 300;
+const MAX_OWN_TOKENS: u64 = 300;
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
@@ -32,13 +32,13 @@
     fetched_from: Option<String>,
 }
 
-struct Timed {
+struct TimedLine {
     at_s: f64,
     line: Line,
 }
 
-impl Timed {
-    fn began_s(&self) -> f64 {
+impl TimedLine {
+    fn started_s(&self) -> f64 {
         self.at_s - self.line.took_ms as f64 / 1_000.0
     }
 }
@@ -55,7 +55,7 @@
     HoldersGone,
 }
 
-fn read(text: &str) -> impl Iterator<Item = Timed> {
+fn parse_lines(text: &str) -> impl Iterator<Item = TimedLine> {
     text.lines().filter_map(|raw| {
         let (before, json) = raw.split_at(raw.find('{')?);
         let line: Line = serde_json::from_str(json).ok()?;
@@ -64,13 +64,13 @@
             .next()
             .and_then(|n| n.parse().ok());
         let at_s = stamp.unwrap_or(line.ts_ms as f64 / 1_000.0);
-        Some(Timed { at_s, line })
+        Some(TimedLine { at_s, line })
     })
 }
 
 /// Returns when a verdict, such as `leaving` or `gone`, was first logged for each target, in
 /// seconds.
-fn first<'a>(lines: &'a [Timed], verdict: &str) -> HashMap<&'a str, f64> {
+fn first_verdict_times<'a>(lines: &'a [TimedLine], verdict: &str) -> HashMap<&'a str, f64> {
     let mut at = HashMap::new();
     for t in lines.iter().filter(|t| t.line.msg == "target") {
         if let (Some(target), Some(v)) = (&t.line.target, &t.line.verdict)
@@ -82,7 +82,7 @@
     at
 }
 
-fn calls(lines: &[Timed]) {
+fn report_calls(lines: &[TimedLine]) {
     let with_prompt: BTreeSet<&str> = lines
         .iter()
         .filter(|t| t.line.msg == "attempt" && t.line.shared_part.is_some())
@@ -105,10 +105,13 @@
     }
 }
 
-fn read_again(lines: &[Timed]) {
-    let (gone, leaving) = (first(lines, "gone"), first(lines, "leaving"));
-    let mut attempts: Vec<&Timed> = lines.iter().filter(|t| t.line.msg == "attempt").collect();
-    attempts.sort_by(|a, b| a.began_s().total_cmp(&b.began_s()));
+fn report_repeated_reads(lines: &[TimedLine]) {
+    let (gone, leaving) = (
+        first_verdict_times(lines, "gone"),
+        first_verdict_times(lines, "leaving"),
+    );
+    let mut attempts: Vec<&TimedLine> = lines.iter().filter(|t| t.line.msg == "attempt").collect();
+    attempts.sort_by(|a, b| a.started_s().total_cmp(&b.started_s()));
     let mut holders: HashMap<u64, BTreeSet<&str>> = HashMap::new();
     let mut by_cause: BTreeMap<Cause, (u64, u64)> = BTreeMap::new();
     let mut by_second: BTreeMap<i64, u64> = BTreeMap::new();
@@ -116,10 +119,10 @@
         let (Some(part), Some(target)) = (t.line.shared_part, &t.line.target) else {
             continue;
         };
-        let began = t.began_s();
+        let began = t.started_s();
         let before = holders.entry(part).or_default();
         let is_read = !t.line.held && t.line.fetched_from.is_none();
-        if is_read && t.line.tokens_missing > OWN_TOKENS && !before.is_empty() {
+        if is_read && t.line.tokens_missing > MAX_OWN_TOKENS && !before.is_empty() {
             let is_over =
                 |at: &HashMap<&str, f64>, id: &str| at.get(id).is_some_and(|at| *at <= began);
             let listed: Vec<&&str> = before.iter().filter(|id| !is_over(&gone, id)).collect();
@@ -151,7 +154,7 @@
     let mut lines = Vec::new();
     for file in files {
         match std::fs::read(&file) {
-            Ok(bytes) => lines.extend(read(&String::from_utf8_lossy(&bytes))),
+            Ok(bytes) => lines.extend(parse_lines(&String::from_utf8_lossy(&bytes))),
             Err(e) => {
                 eprintln!("{file}: {e}");
                 return ExitCode::from(2);
@@ -159,7 +162,7 @@
         }
     }
     println!("{} lines", lines.len());
-    calls(&lines);
-    read_again(&lines);
+    report_calls(&lines);
+    report_repeated_reads(&lines);
     ExitCode::SUCCESS
 }
--- a/examples/path.rs
+++ b/examples/path.rs
@@ -23,15 +23,15 @@
 };
 
 /// Number of calls before the measurement.
-const WARM: usize = 500;
+const WARM_UP_CALLS: usize = 500;
 /// Number of short calls that are measured.
-const CALLS: usize = 4_000;
+const MEASURED_CALLS: usize = 4_000;
 /// Number of streamed calls that are measured.
-const STREAMS: usize = 200;
+const MEASURED_STREAMS: usize = 200;
 /// Number of chunks of a streamed call.
-const CHUNKS: u64 = 500;
+const CHUNKS_PER_STREAM: u64 = 500;
 /// Number of concurrent callers while the rate is measured.
-const AT_ONCE: usize = 32;
+const CONCURRENT_CALLERS: usize = 32;
 /// Number of streams that are open at once while memory is measured.
 const OPEN_STREAMS: usize = 1_000;
 
@@ -45,7 +45,7 @@
         ..Plan::default()
     };
     let fleet = Fleet::start(plan).await;
-    let ways = [
+    let paths = [
         ("direct", fleet.engines[0].server.address),
         ("a router", fleet.callers_at(0)),
     ];
@@ -54,39 +54,44 @@
         "way", "p50 us", "p99 us", "calls/s", "chunks/s"
     );
     let small = chat_body(MODEL, &[("user", "short".to_owned())], 1, false);
-    let long = chat_body(MODEL, &[("user", "long".to_owned())], CHUNKS, true);
-    for (name, at) in ways {
-        let (p50, p99) = latency(at, &small).await;
-        let calls = rate(at, &small, CALLS).await;
-        let chunks = rate(at, &long, STREAMS).await * CHUNKS as f64;
+    let long = chat_body(
+        MODEL,
+        &[("user", "long".to_owned())],
+        CHUNKS_PER_STREAM,
+        true,
+    );
+    for (name, at) in paths {
+        let (p50, p99) = measure_latency(at, &small).await;
+        let calls = measure_rate(at, &small, MEASURED_CALLS).await;
+        let chunks = measure_rate(at, &long, MEASURED_STREAMS).await * CHUNKS_PER_STREAM as f64;
         println!("{name:<12} {p50:>8} {p99:>8} {calls:>9.0} {chunks:>10.0}");
     }
     println!("rss after the calls: {} KB", rss_kb());
-    open_streams(&fleet).await;
+    measure_open_streams(&fleet).await;
 }
 
-async fn latency(at: SocketAddr, body: &Value) -> (u64, u64) {
+async fn measure_latency(at: SocketAddr, body: &Value) -> (u64, u64) {
     let caller = Caller::default();
     let mut times = Histogram::<u64>::new_with_max(60_000_000, 3).expect("histogram");
-    for i in 0..WARM + CALLS {
+    for i in 0..WARM_UP_CALLS + MEASURED_CALLS {
         let began = Instant::now();
         let outcome = caller.chat(at, body).await;
         assert!(outcome.finished, "{outcome:?}");
-        if i >= WARM {
+        if i >= WARM_UP_CALLS {
             times.saturating_record(began.elapsed().as_micros() as u64);
         }
     }
     (times.value_at_quantile(0.5), times.value_at_quantile(0.99))
 }
 
-async fn rate(at: SocketAddr, body: &Value, calls: usize) -> f64 {
+async fn measure_rate(at: SocketAddr, body: &Value, calls: usize) -> f64 {
     let began = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
-    for _ in 0..AT_ONCE {
+    for _ in 0..CONCURRENT_CALLERS {
         let body = body.clone();
         tasks.spawn(async move {
             let caller = Caller::default();
-            for _ in 0..calls / AT_ONCE {
+            for _ in 0..calls / CONCURRENT_CALLERS {
                 assert!(caller.chat(at, &body).await.finished);
             }
         });
@@ -99,7 +104,7 @@
 
 /// Measures the memory of an open stream. It includes the engine's and the caller's ends, which are
 /// in the same process.
-async fn open_streams(fleet: &Fleet) {
+async fn measure_open_streams(fleet: &Fleet) {
     fleet.engines[0].set_gate(false);
     let before = rss_kb();
     let body = chat_body(MODEL, &[("user", "open".to_owned())], 50, true).to_string();
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -41,12 +41,12 @@
 
 #[tokio::main]
 async fn main() {
-    configuration();
-    placement();
-    entries();
-    prompts();
+    measure_configuration();
+    measure_placement();
+    measure_entries();
+    measure_prompts();
     for n in [3, 12, 24] {
-        daemons(n).await;
+        measure_daemons(n).await;
     }
 }
 
@@ -88,7 +88,7 @@
     cfg
 }
 
-fn configuration() {
+fn measure_configuration() {
     let before = rss_kb();
     let cfg = fleet_config();
     println!(
@@ -110,17 +110,17 @@
         max_silence: Duration::from_secs(60),
     };
     let serving = || routes::serving_config(&cfg, Revision(1), &rules);
-    let took = time(50, || drop(black_box(serving())));
+    let took = mean_time_ns(50, || drop(black_box(serving())));
     println!("configuration: put in force in {took:.0} ns, targets apart");
     let in_force = serving();
-    let took = time(20_000, || {
+    let took = mean_time_ns(20_000, || {
         drop(black_box(in_force.key_owner("key-469").cloned()));
     });
     println!("accounts: finding a key among {ACCOUNTS}: {took:.0} ns");
 }
 
 /// Measures the time of a placement decision by the number of targets of a model.
-fn placement() {
+fn measure_placement() {
     let rules = scaleford::edge::Rules {
         revoke_bound: None,
         cap_factor: 1.25,
@@ -160,10 +160,10 @@
         }
         for (kind, is_chat) in [("chat's turn", true), ("prompt", false)] {
             let mut chat = 0;
-            let took = time(500, || {
+            let took = mean_time_ns(500, || {
                 chat += 1;
                 let now = Instant::from_millis(chat);
-                let mut call = turn(chat);
+                let mut call = third_turn(chat);
                 call.chat = call.chat.filter(|_| is_chat);
                 call.hash = chat;
                 if let Ok(ticket) = d.choose(now, &call) {
@@ -178,7 +178,7 @@
 }
 
 /// Measures the time in which a router applies a list of targets' entries, and a batch of changes.
-fn entries() {
+fn measure_entries() {
     let targets = 3_000;
     let record = |n: usize, slots: u32| TargetRecord {
         id: name(&format!("runner-{n:010x}")),
@@ -192,7 +192,7 @@
     };
     let now = Instant::default();
     let all = || (0..targets).map(|n| (record(n, 64), StoreRevision::first_era(1)));
-    let list = time(20, || {
+    let list = mean_time_ns(20, || {
         let mut discovery = Discovery::default();
         discovery.on_list(now, all().collect(), StoreRevision::first_era(1));
     });
@@ -200,7 +200,7 @@
     let mut discovery = Discovery::default();
     discovery.on_list(now, all().collect(), StoreRevision::first_era(1));
     let mut revision = 1;
-    let together = time(20, || {
+    let together = mean_time_ns(20, || {
         revision += 1;
         let slots = 64 + revision as u32;
         let put = |n| {
@@ -213,9 +213,9 @@
     });
     println!("entries: 512 changes of {targets} together in {together:.0} ns");
     let entry = serde_json::to_vec(&record(0, 64)).expect("json");
-    let pack = time(2_000, || drop(PackedValue::pack(&entry)));
+    let pack = mean_time_ns(2_000, || drop(PackedValue::pack(&entry)));
     let packed = PackedValue::pack(&entry);
-    let unpack = time(2_000, || drop(packed.unpack()));
+    let unpack = mean_time_ns(2_000, || drop(packed.unpack()));
     println!(
         "entries: {} bytes packed to {} in {pack:.0} ns, unpacked in {unpack:.0} ns",
         entry.len(),
@@ -224,7 +224,7 @@
 }
 
 /// Returns the plan of the third turn of a chat.
-fn turn(chat: u64) -> CallPlan {
+fn third_turn(chat: u64) -> CallPlan {
     let part = |id, tokens| PromptPart {
         id: PartId(id),
         tokens: Tokens(tokens),
@@ -247,7 +247,7 @@
 }
 
 /// Measures the memory of a router's record of cached prompt parts.
-fn prompts() {
+fn measure_prompts() {
     let before = rss_kb();
     let mut cache = PromptCache::default();
     let (targets, parts) = (100, 2_000_u64);
@@ -278,7 +278,7 @@
 }
 
 /// Measures memory, CPU time and control traffic of idle daemons that run as processes.
-async fn daemons(n: usize) {
+async fn measure_daemons(n: usize) {
     let free = || {
         TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
@@ -316,12 +316,12 @@
         all.push(Daemon { child, operators });
     }
     tokio::time::sleep(Duration::from_secs(8)).await;
-    let (bytes, cpu, calls) = (control(&all).await, ticks(&all), store.calls());
+    let (bytes, cpu, calls) = (control_bytes(&all).await, cpu_ticks(&all), store.calls());
     let time = Duration::from_secs(10);
     tokio::time::sleep(time).await;
     let seconds = time.as_secs_f64();
-    let sent = (control(&all).await - bytes) / seconds / n as f64;
-    let core = (ticks(&all) - cpu) as f64 / seconds / n as f64;
+    let sent = (control_bytes(&all).await - bytes) / seconds / n as f64;
+    let core = (cpu_ticks(&all) - cpu) as f64 / seconds / n as f64;
     let rss: i64 = all.iter().map(|d| rss_of(&d.child.id().to_string())).sum();
     let (reads, _) = store.calls();
     println!(
@@ -329,11 +329,11 @@
         rss / n as i64,
         (reads - calls.0) as f64 / seconds,
     );
-    spread(&all).await;
+    measure_propagation(&all).await;
 }
 
 /// Measures the time from the acceptance of a change until it is in force at every daemon.
-async fn spread(all: &[Daemon]) {
+async fn measure_propagation(all: &[Daemon]) {
     let mut times = Vec::new();
     for i in 0..CHANGES {
         let edit = serde_json::json!({"put_model": {"id": format!("model-{i}"), "model": {}}});
@@ -360,7 +360,7 @@
     );
 }
 
-async fn control(all: &[Daemon]) -> f64 {
+async fn control_bytes(all: &[Daemon]) -> f64 {
     let mut sum = 0.0;
     for d in all {
         sum += status(d.operators).await["control_bytes"]
@@ -371,7 +371,7 @@
 }
 
 /// Returns the CPU time of all daemons, in hundredths of a second.
-fn ticks(all: &[Daemon]) -> u64 {
+fn cpu_ticks(all: &[Daemon]) -> u64 {
     let of = |d: &Daemon| -> u64 {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", d.child.id())).unwrap_or_default();
@@ -388,7 +388,7 @@
 }
 
 /// Returns the mean time of a call of `f`, in nanoseconds.
-fn time(n: u32, mut f: impl FnMut()) -> f64 {
+fn mean_time_ns(n: u32, mut f: impl FnMut()) -> f64 {
     let began = Clock::now();
     (0..n).for_each(|_| f());
     began.elapsed().as_nanos() as f64 / f64::from(n)
--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -44,10 +44,10 @@
     let listen = flags.listen.as_deref().unwrap_or("127.0.0.1:0");
     match flags.subcommand {
         flags::StandinCmd::Engine(e) => {
-            let usual = EngineConfig::default();
+            let default = EngineConfig::default();
             let cfg = EngineConfig {
-                seed: e.seed.unwrap_or(usual.seed),
-                cache_tokens: e.cache_tokens.unwrap_or(usual.cache_tokens),
+                seed: e.seed.unwrap_or(default.seed),
+                cache_tokens: e.cache_tokens.unwrap_or(default.cache_tokens),
                 token_time: Duration::from_micros(e.token_us.unwrap_or(0)),
                 prefill_time: Duration::from_micros(e.prefill_us.unwrap_or(0)),
             };
