--- a/src/claims.rs
+++ b/src/claims.rs
@@ -5,7 +5,7 @@
 //! the keys `SHARD/NUMBER` below [`CLAIMS_PREFIX`]. Records are appended to the last value by
 //! compare-and-swap, many in one write. The write that fills a value also seals it, and the next
 //! value is created on the condition that it is absent. So all records of a shard pass one point of
-//! order, whichever routers believe that they are its keeper: of two keepers that write at once,
+//! order, whichever routers believe that they are its owner: of two owners that write at once,
 //! one gets "conflict", reads the shard again and decides again.
 
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
 pub const RUNNING_TIMEOUT_S: u64 = 3600;
 
 /// Maximum age, in seconds, of the copy that the store is restored from. A record older than that
-/// is in the copy, or another keeper recorded something else in its place.
+/// is in the copy, or another owner recorded something else in its place.
 pub const MAX_COPY_AGE_S: u64 = 60;
 
 /// Maximum number of keys that one shard remembers; beyond it, new calls are not run.
@@ -107,7 +107,7 @@
     pub outcome: u16,
 }
 
-/// Answer of the shard's keeper to a step.
+/// Answer of the shard's owner to a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
     /// The step is in the store.
@@ -165,7 +165,7 @@
     at_s: u64,
 }
 
-/// A shard as its keeper knows it: the latest step on each key, and the chunk to append to.
+/// A shard as its owner knows it: the latest step on each key, and the chunk to append to.
 #[derive(Debug, Clone, Default)]
 pub struct ClaimShard {
     key_states: HashMap<ClaimKey, KeyState>,
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -232,8 +232,8 @@
 
     /// Returns the address of the router that owns `key`; `None` if it is this one.
     pub fn owner_of(&self, now: Instant, key: &str) -> Option<SocketAddr> {
-        let keeper = owner(key, self.live_names(now))?;
-        self.by_vm.get(keeper).map(|p| p.address)
+        let owner = owner(key, self.live_names(now))?;
+        self.by_vm.get(owner).map(|p| p.address)
     }
 
     /// Returns all other known routers, each with its data hall and state.
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -230,7 +230,7 @@
         notices
     }
 
-    /// Marks the quarantined requests without an entry in the store whose keeper is this router, so
+    /// Marks the quarantined requests without an entry in the store whose owner is this router, so
     /// that it writes their entries. Returns whether any entry is to be written.
     pub fn mark_unsaved(&mut self, is_keeper: impl Fn(Fingerprint) -> bool) -> bool {
         let mut any = false;
