--- a/src/admission/shortage.rs
+++ b/src/admission/shortage.rs
@@ -13,13 +13,12 @@
 /// Time without refusals after which the next refusal begins a new shortage.
 const SHORTAGE_GAP: Duration = Duration::from_secs(1);
 
-/// Expected duration of a shortage that has just begun: that of the shortest surges in the users'
-/// workload sheets.
+/// Expected duration of a shortage that has just begun: that of the shortest surges in the
+/// workloads that this fleet is designed for.
 const MIN_SHORTAGE: Duration = Duration::from_secs(3);
 
 /// Maximum retry delay as a fraction of the time for which a caller waits. A caller that retries
-/// then still has most of its time, and the users' callers do not honour longer delays (see
-/// PROTOCOL).
+/// then still has most of its time, and clients do not honour longer delays.
 const MAX_RETRY_AFTER_FRACTION: f64 = 1.0 / 3.0;
 
 /// Fraction of the delay over which callers that were refused together are spread.
--- a/src/admission/surge.rs
+++ b/src/admission/surge.rs
@@ -15,9 +15,9 @@
 /// Time constant of the usual rate.
 const USUAL_TIME_CONSTANT: Duration = Duration::from_secs(30);
 
-/// Minimum time in which the usual rate may double. A surge of the users' workload sheets (3 to 7
-/// s) hardly changes the usual rate before it ends; permanent growth of an account counts as usual
-/// after half a minute.
+/// Minimum time in which the usual rate may double. A surge in the workloads that this fleet is
+/// designed for (3 to 7 s) hardly changes the usual rate before it ends; permanent growth of an
+/// account counts as usual after half a minute.
 const USUAL_DOUBLING_TIME: Duration = Duration::from_secs(10);
 
 /// Minimum time for which an account is observed before its rate counts as usual.
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -26,11 +26,12 @@
 /// Maximum number of targets that one request is sent to. The second one also fails occasionally.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Assumed number of concurrent requests of a target of the default weight: the batch size in the data
-/// sheets of the users' engines.
+/// Assumed number of concurrent requests of a target of the default weight: the batch size of the
+/// engines that this fleet is designed for.
 const DEFAULT_SLOTS: u32 = 64;
 
-/// Assumed size of an engine's memory in tokens, approximately that of the users' data sheets.
+/// Assumed size of an engine's memory in tokens, approximately that of the engines that this fleet is
+/// designed for.
 const DEFAULT_MEMORY_TOKENS: u64 = 400_000;
 
 /// Expected length of a response if neither the caller nor the model specifies one.
--- a/src/health.rs
+++ b/src/health.rs
@@ -19,8 +19,8 @@
 const OUTCOME_WEIGHT: f64 = 0.12;
 
 /// Failure rate above which a target is suspect. Services answer some calls with errors of their
-/// own even when healthy (one in seven on one of the users' workload sheets), and that rate must
-/// stay below.
+/// own even when healthy (one in seven in one of the workloads that this fleet is designed for), and
+/// that rate must stay below.
 const SUSPECT_FAILURE_RATE: f64 = 0.45;
 
 /// Number of consecutive failures after which a target is suspect regardless of its failure rate.
@@ -96,7 +96,7 @@
 }
 
 /// Time after which a plain service's target that has calls in progress but sends nothing is
-/// stalled: its work takes 15 ms and rarely 110 ms (users' workload sheets).
+/// stalled: its work takes 15 ms and rarely 110 ms in the workloads that this fleet is designed for.
 const PLAIN_STALL_TIMEOUT: Duration = Duration::from_millis(220);
 
 /// Time after which a model engine that has calls in progress but sends nothing is stalled; it may
--- a/src/outages.rs
+++ b/src/outages.rs
@@ -14,7 +14,7 @@
 
 /// Maximum time between sending a call and the close of its connection for the target to be
 /// regarded as down: some round trips of a few milliseconds. A target that runs the call and loses
-/// its answer takes longer (15 ms of work on the users' workload sheets).
+/// its answer takes longer (15 ms of work in the workloads that this fleet is designed for).
 const IMMEDIATE_CLOSE: Duration = Duration::from_millis(15);
 
 /// Time for which a target that is down is avoided if others have capacity; a target that flaps is
--- a/tests/load/cold_targets.rs
+++ b/tests/load/cold_targets.rs
@@ -24,7 +24,7 @@
 /// Usual number of calls per second and engine.
 const USUAL_CALLS_PER_S: f64 = 4.8;
 
-/// Returns a load on a fleet of the users' sheets, or of the design size (380 routers) with fewer engines.
+/// Returns a load on a fleet of a size that users run, or of the design size (380 routers) with fewer engines.
 fn fleet(routers: usize, targets: usize, change: Change) -> Load {
     Load {
         routers,
--- a/tests/load/lock_out.rs
+++ b/tests/load/lock_out.rs
@@ -1,8 +1,8 @@
 //! Guards against routers that refuse calls while targets of a plain service are idle, after a peak or while
 //! another target is cut off.
 //!
-//! Three targets with six slots each and 30 ms per call can serve 600 calls a second, as on the users'
-//! sheets; the usual load is 180 calls a second.
+//! Three targets with six slots each and 30 ms per call can serve 600 calls a second, as in a
+//! workload that this fleet is designed for; the usual load is 180 calls a second.
 
 use std::{ops::Range, time::Duration};
 
--- a/tests/replay/trace.rs
+++ b/tests/replay/trace.rs
@@ -4,7 +4,8 @@
 use scaleford::prompt_cache::{PartId, PromptPart};
 use serde::Deserialize;
 
-/// One line of a trace: the fleet, a request, or an engine that leaves or joins.
+/// One line of a trace: the fleet, a request, or an engine that leaves or joins. docs/TRACE.md describes the
+/// fields.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Line {
