--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -5,7 +5,7 @@
 //! after [`RETURN_GRACE`].
 //!
 //! An entry is stored under its target's name. A target that restarts writes there with another
-//! birth time. That ends its former instance at once, and what is known of that instance applies to
+//! start time. That ends its former instance at once, and what is known of that instance applies to
 //! no target any more.
 
 use std::{
--- a/src/edge/feed.rs
+++ b/src/edge/feed.rs
@@ -17,14 +17,14 @@
 
 /// Maximum time that a router that feeds others holds a request until it has something newer.
 ///
-/// Each response passes on the proof that nothing is newer, so the proof ages by at most this time
+/// Each response passes on the confirmation that nothing is newer, which thus ages by at most this time
 /// from one router to the next.
 pub(super) const MAX_FEEDER_HOLD_TIME: Duration = Duration::from_millis(500);
 
 /// Interval at which a router that holds a request checks whether it can still serve the store's content.
 const SOURCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum age of a router's proof for it to feed others: the oldest age on a healthy path, plus one
+/// Maximum age of a router's confirmation for it to feed others: the oldest age on a healthy path, plus one
 /// datagram that had to be sent again.
 pub(super) const MAX_FEEDER_PROOF_AGE: Duration = Duration::from_millis(2_500);
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns whether the proof is recent enough for its sender to feed other routers.
+    /// Returns whether the confirmation is recent enough for its sender to feed other routers.
     pub(super) fn is_recent(self) -> bool {
         Duration::from_millis(u64::from(self.age_ms)) < MAX_FEEDER_PROOF_AGE
     }
@@ -86,7 +86,7 @@
 }
 
 /// Returns the encoded changes after a revision, or an empty response once `wait` has passed, together
-/// with the proof of the configuration.
+/// with the confirmation of the configuration.
 pub(super) async fn changes_after(
     cx: &Gateway,
     after: StoreRevision,
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -2,7 +2,7 @@
 //!
 //! They use HTTP on the peers' port, with bodies in postcard or JSON. A request for the store's content
 //! waits for changes as a watch of the store does, so that only few routers read the store. Datagrams
-//! confirm how old the configuration may be; the proof in a response confirms it only in fleets that
+//! confirm how old the configuration may be; the confirmation in a response counts only in fleets that
 //! use feeders.
 
 use std::{cell::RefCell, convert::Infallible, net::SocketAddr, rc::Rc, time::Duration};
@@ -40,7 +40,7 @@
 /// over a link that some dozens of routers share.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Response header with the proof of the configuration.
+/// Response header with the confirmation of the configuration.
 const PROOF_HEADER: &str = "scaleford-proof";
 
 /// Maximum time that the owner of a claim's shard may take to record a step: a write of the shard waits
@@ -131,8 +131,8 @@
         self.address
     }
 
-    /// Requests changes after a revision and waits up to `wait` for them; also returns the response's proof
-    /// of the configuration.
+    /// Requests changes after a revision and waits up to `wait` for them; also returns the response's
+    /// confirmation of the configuration.
     pub(super) async fn request_changes(
         &self,
         after: StoreRevision,
@@ -287,7 +287,7 @@
     }
 }
 
-/// Adds the proof of the configuration to a response; a proof that cannot be encoded is left out.
+/// Adds the confirmation of the configuration to a response; one that cannot be encoded is left out.
 fn with_proof(mut res: Response<AnswerBody>, proof: Option<Proof>) -> Response<AnswerBody> {
     let proof = proof.and_then(|p| serde_json::to_string(&p).ok());
     let proof = proof.and_then(|p| HeaderValue::from_str(&p).ok());
--- a/src/edge/store_updates.rs
+++ b/src/edge/store_updates.rs
@@ -221,7 +221,7 @@
 }
 
 /// Logs and counts an entry that names no usable target. It replaces the previous entry of that key,
-/// whoever wrote it.
+/// regardless of its writer.
 fn log_unusable(cx: &Gateway, name: &TargetName, why: &str, at: StoreRevision) {
     cx.metrics.entries_unusable.inc();
     warn!(cx.log, "target entry unusable"; "target" => %name, "why" => why, "revision" => at.number);
--- a/src/edge/withdrawals.rs
+++ b/src/edge/withdrawals.rs
@@ -11,7 +11,7 @@
 };
 
 /// Handles the head of a response. A head that comes from another server at the target's address, or a
-/// success whose bytes the target does not vouch for with its seal, says nothing of the target and is
+/// success whose bytes the target does not confirm with its seal, says nothing of the target and is
 /// ignored.
 pub(super) fn on_response_head(
     cx: &Gateway,
--- a/src/load_account.rs
+++ b/src/load_account.rs
@@ -1,6 +1,6 @@
 //! Counts the work in progress at each target, as far as one router can know it.
 //!
-//! In a large fleet, one router of each data hall adds up the counts of that hall; without such a sum the
+//! In a large fleet, one router of each data hall aggregates the counts of that hall; without such a sum the
 //! peers' own counts are used.
 //!
 //! There are three sources: this router's own calls, which are exact; the counts that peers sent, which are
@@ -33,7 +33,7 @@
 const REPORT_TTL: Duration = Duration::from_millis(400);
 
 /// Number of peers from which sums are recomputed at most every [`SUM_INTERVAL`] instead of on each datagram:
-/// a hub for some hundred routers receives as many datagrams a second, and adds up all counts each time.
+/// a hub for some hundred routers receives as many datagrams a second, and aggregates all counts each time.
 const SUM_THROTTLE_PEERS: usize = 64;
 
 /// Minimum interval between recomputed sums in large fleets.
--- a/src/units.rs
+++ b/src/units.rs
@@ -269,7 +269,7 @@
     /// Interactive requests, for which a person waits.
     #[default]
     Live,
-    /// Long texts such as essays and reports, for which nobody waits urgently.
+    /// Long texts such as essays and reports, which are not urgent.
     Patient,
 }
 
