--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -107,7 +107,7 @@
     let rules = routes::CallerRules {
         limits: CallerLimits::default(),
         chat_timeout: Duration::from_secs(300),
-        max_silence: Duration::from_secs(60),
+        longest_silence: Duration::from_secs(60),
     };
     let serving = || routes::serving_config(&cfg, Revision(1), &rules);
     let took = mean_time_ns(50, || drop(black_box(serving())));
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -45,7 +45,7 @@
     /// Maximum duration of a chat request.
     pub chat_timeout: Duration,
     /// Maximum pause of a target within a response.
-    pub max_silence: Duration,
+    pub longest_silence: Duration,
 }
 
 /// Returns the path under which the route of a model's chats is registered.
@@ -142,7 +142,7 @@
             kind,
             timeout: rules.chat_timeout,
             goal: rules.chat_timeout,
-            max_silence: rules.max_silence,
+            max_silence: rules.longest_silence,
             max_attempts: MAX_ATTEMPTS,
             split: vec![(pool.clone(), 1)],
             ..Route::default()
@@ -172,7 +172,7 @@
         kind: CallKind::Safe,
         timeout,
         goal: timeout,
-        max_silence: rules.max_silence,
+        max_silence: rules.longest_silence,
         max_attempts: MAX_ATTEMPTS,
         rank: Rank(1),
         split: vec![(pool, 1)],
--- a/src/config/serving.rs
+++ b/src/config/serving.rs
@@ -157,11 +157,11 @@
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Maximum time to receive a request head.
-    pub header_timeout: Duration,
+    pub header_time: Duration,
     /// Maximum time to receive a request body.
-    pub body_timeout: Duration,
+    pub body_time: Duration,
     /// Maximum idle time of a keep-alive connection.
-    pub idle_timeout: Duration,
+    pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
@@ -170,9 +170,9 @@
         Self {
             header_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            header_timeout: Duration::from_secs(3),
-            body_timeout: Duration::from_secs(30),
-            idle_timeout: Duration::from_secs(15),
+            header_time: Duration::from_secs(3),
+            body_time: Duration::from_secs(30),
+            idle_time: Duration::from_secs(15),
         }
     }
 }
--- a/src/edge/accepted_changes.rs
+++ b/src/edge/accepted_changes.rs
@@ -81,7 +81,7 @@
         let log = cx.accepted_changes.log.borrow();
         (log.revision(), Arc::clone(log.config()))
     };
-    let serving = routes::serving_config(&config, revision, &cx.cfg.caller_rules);
+    let serving = routes::serving_config(&config, revision, &cx.cfg.callers_rules);
     let at = serving.revision;
     let applied = cx.apply(serving);
     let targets = routes::target_records(&config);
--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -161,7 +161,7 @@
         return Ok(None);
     }
     let reading = Limited::new(body_stream, limits.body_bytes).collect();
-    let until = cx.now() + limits.body_timeout;
+    let until = cx.now() + limits.body_time;
     match cx.clock.timeout_at(until, reading).await {
         Some(Ok(body)) => Ok(Some(body.to_bytes())),
         Some(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Ok(None),
--- a/src/edge/gateway.rs
+++ b/src/edge/gateway.rs
@@ -121,7 +121,7 @@
         let peers = Peers::new(
             cfg.vm.clone(),
             cfg.data_hall.clone(),
-            cfg.capacity,
+            cfg.strength,
             Incarnation(wall_epoch_ms),
             cfg.peers,
             &cfg.seeds,
@@ -144,7 +144,7 @@
             accounts: Accounts::default(),
             claims: ClaimRecorder::new(Rc::clone(&store)),
             crash_checks: CrashChecks::default(),
-            explain: ExplainRing::new(cfg.max_explained_decisions),
+            explain: ExplainRing::new(cfg.explain_kept),
             conns: Rc::default(),
             metrics: Metrics::default(),
             lifecycle: RefCell::default(),
@@ -246,7 +246,7 @@
 
     /// Returns the version of the configuration that the store holds, as far as this router knows.
     pub(crate) fn stored_config(&self) -> Option<ConfigVersion> {
-        match self.cfg.uses_operator_config {
+        match self.cfg.own_config {
             true => Some(ConfigVersion(
                 accepted_changes::newest_stored_revision(self).0,
             )),
@@ -257,7 +257,7 @@
     /// Returns the limits on what callers may send.
     pub(crate) fn caller_limits(&self) -> CallerLimits {
         let serving = self.serving();
-        serving.map_or(self.cfg.caller_rules.limits, |c| c.limits)
+        serving.map_or(self.cfg.callers_rules.limits, |c| c.limits)
     }
 
     /// Applies a configuration if it is newer than the one in force, and returns whether it was applied.
--- a/src/edge/gossip.rs
+++ b/src/edge/gossip.rs
@@ -258,7 +258,7 @@
         echo: None,
         config: age.map(|a| (freshness.version(), a.as_millis() as u32)),
         hall: cx.cfg.data_hall.clone(),
-        capacity: cx.cfg.capacity,
+        capacity: cx.cfg.strength,
         reader_ages: readers,
         suspected: cx.dispatcher.borrow().health.unresponsive_targets(now),
         halls: Vec::new(),
--- a/src/edge/ingress.rs
+++ b/src/edge/ingress.rs
@@ -107,7 +107,7 @@
         tokio::time::sleep(pause).await;
         let limits = cx.caller_limits();
         let idle = cx.now().since(activity.idle_since.get());
-        let max_idle = limits.idle_timeout + IDLE_TIMEOUT_SLACK;
+        let max_idle = limits.idle_time + IDLE_TIMEOUT_SLACK;
         if activity.busy.get() {
             continue;
         }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -46,7 +46,7 @@
     admission::warm_up::ColdRule,
     config::routes::CallerRules,
     ids::{DataHall, Region, VmId},
-    membership::{datagram::CapacityClass, readers::FleetStart},
+    membership::{datagram::Strength, readers::FleetStart},
     retry::BudgetRule,
     settings::OperatorToken,
 };
@@ -61,7 +61,7 @@
     /// Data hall of this VM.
     pub data_hall: DataHall,
     /// Capacity class of this VM's network link and processor.
-    pub capacity: CapacityClass,
+    pub strength: Strength,
     /// Address at which callers connect.
     pub callers: SocketAddr,
     /// Address at which the load balancer checks whether this VM is ready, if it uses a separate port.
@@ -82,11 +82,11 @@
     pub max_calls: usize,
     /// Whether the configuration consists of changes that operators confirm at the routers; otherwise it
     /// is the one that the adapter decodes.
-    pub uses_operator_config: bool,
+    pub own_config: bool,
     /// Rules for callers. The limits apply until a configuration provides others.
-    pub caller_rules: CallerRules,
+    pub callers_rules: CallerRules,
     /// Maximum number of decisions that are kept for `explain`.
-    pub max_explained_decisions: usize,
+    pub explain_kept: usize,
     /// Rules that may change while the gateway runs.
     pub rules: Rules,
 }
--- a/src/edge/operators.rs
+++ b/src/edge/operators.rs
@@ -34,7 +34,7 @@
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(cx.cfg.caller_rules.limits.header_timeout)
+            .header_read_timeout(cx.cfg.callers_rules.limits.header_time)
             .serve_connection(TokioIo::new(socket), service);
         tokio::task::spawn_local(async move {
             // An operator whose connection breaks can repeat the request.
--- a/src/edge/peer_calls.rs
+++ b/src/edge/peer_calls.rs
@@ -303,7 +303,7 @@
         .await;
     let change = serde_json::from_slice(&body.map_err(invalid_response)?.to_bytes())
         .map_err(invalid_response)?;
-    if cx.cfg.uses_operator_config {
+    if cx.cfg.own_config {
         accepted_changes::apply_change(cx, change);
     }
     Ok(Vec::new())
--- a/src/edge/saved_state.rs
+++ b/src/edge/saved_state.rs
@@ -60,7 +60,7 @@
 pub(super) fn restore(cx: &Gateway, saved: SavedState, is_first: bool) {
     let now = cx.now();
     let mut dispatcher = cx.dispatcher.borrow_mut();
-    let expired = match is_first && !cx.cfg.uses_operator_config {
+    let expired = match is_first && !cx.cfg.own_config {
         true => dispatcher.discovery.on_saved_targets(now, saved.targets),
         false => Vec::new(),
     };
--- a/src/edge/store_sync.rs
+++ b/src/edge/store_sync.rs
@@ -196,7 +196,7 @@
     async fn read_store(&mut self) {
         let sent = self.cx.now();
         let after = self.cx.mirror.borrow().revision();
-        let unstored = match self.cx.cfg.uses_operator_config {
+        let unstored = match self.cx.cfg.own_config {
             true => accepted_changes::unstored_changes(&self.cx),
             false => Vec::new(),
         };
--- a/src/edge/store_updates.rs
+++ b/src/edge/store_updates.rs
@@ -69,7 +69,7 @@
         }
     }
     on_changes(cx, now, changes, update.revision);
-    if is_list && !cx.cfg.uses_operator_config {
+    if is_list && !cx.cfg.own_config {
         let (halls, changes) = {
             let discovery = &mut cx.dispatcher.borrow_mut().discovery;
             // Evacuated halls are applied before targets, as a target of such a hall must not be used even
@@ -103,7 +103,7 @@
     let mut dispatcher = cx.dispatcher.borrow_mut();
     dispatcher.quarantine.on_store_reverted();
     dispatcher.cache.on_store_reverted();
-    if !cx.cfg.uses_operator_config {
+    if !cx.cfg.own_config {
         dispatcher.discovery.on_store_reverted(cx.now());
     }
 }
@@ -139,10 +139,10 @@
             Ok(OwnEntry::Prompts(saved)) if is_list => {
                 recovered = Some(saved_state::decode(cx, &saved));
             }
-            Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.uses_operator_config => {
+            Ok(OwnEntry::Snapshot(snapshot)) if cx.cfg.own_config => {
                 accepted_changes::apply_snapshot(cx, *snapshot);
             }
-            Ok(OwnEntry::Change(change)) if cx.cfg.uses_operator_config => changes.push(*change),
+            Ok(OwnEntry::Change(change)) if cx.cfg.own_config => changes.push(*change),
             Ok(OwnEntry::Quarantined(request)) => {
                 let now = cx.now();
                 let change = {
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -30,9 +30,9 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct CapacityClass(u8);
+pub struct Strength(u8);
 
-impl CapacityClass {
+impl Strength {
     /// Computes the class of a VM from its link and its share of a core.
     ///
     /// The scarcer of the two decides; 10 Mbit/s of link are equivalent to a tenth of a core.
@@ -92,7 +92,7 @@
     /// Data hall of the sender.
     pub hall: DataHall,
     /// Capacity class of the sender's link and processor.
-    pub capacity: CapacityClass,
+    pub capacity: Strength,
     /// Sequence number of the datagram within the sender's incarnation.
     pub number: u64,
     /// Time at which the datagram was sent, by the sender's clock.
--- a/src/membership/hubs.rs
+++ b/src/membership/hubs.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    datagram::CapacityClass,
+    datagram::Strength,
     peers::{Peers, Receiver},
     timing,
 };
@@ -92,12 +92,11 @@
     /// have.
     pub(super) fn owners_by_capacity<'a>(
         key: &str,
-        routers: impl Iterator<Item = (&'a VmId, CapacityClass)>,
+        routers: impl Iterator<Item = (&'a VmId, Strength)>,
         n: usize,
     ) -> Vec<&'a VmId> {
-        let mut all: Vec<(&VmId, CapacityClass)> = routers.collect();
-        let mut capacities: Vec<CapacityClass> =
-            all.iter().map(|(_, capacity)| *capacity).collect();
+        let mut all: Vec<(&VmId, Strength)> = routers.collect();
+        let mut capacities: Vec<Strength> = all.iter().map(|(_, capacity)| *capacity).collect();
         capacities.sort_unstable_by(|a, b| b.cmp(a));
         let strongest = capacities.first().copied().unwrap_or_default();
         let nth = capacities.get(n.saturating_sub(1)).copied();
@@ -107,10 +106,7 @@
     }
 
     /// Returns all live routers with their capacity class, this one included.
-    pub(super) fn live_capacities(
-        &self,
-        now: Instant,
-    ) -> impl Iterator<Item = (&VmId, CapacityClass)> {
+    pub(super) fn live_capacities(&self, now: Instant) -> impl Iterator<Item = (&VmId, Strength)> {
         let others = self.live_members(now).map(|(vm, p)| (vm, p.capacity));
         others.chain(std::iter::once((&self.me, self.capacity)))
     }
@@ -155,7 +151,7 @@
         if table.is_fresh(now) {
             return;
         }
-        let mut halls: BTreeMap<&DataHall, Vec<(&VmId, CapacityClass)>> = BTreeMap::new();
+        let mut halls: BTreeMap<&DataHall, Vec<(&VmId, Strength)>> = BTreeMap::new();
         for (vm, peer) in self.live_members(now) {
             halls
                 .entry(&peer.hall)
@@ -166,7 +162,7 @@
             .entry(&self.hall)
             .or_default()
             .push((&self.me, self.capacity));
-        let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, CapacityClass)>)| {
+        let hubs = |(hall, routers): (&DataHall, Vec<(&VmId, Strength)>)| {
             let hubs = Self::owners_by_capacity("hub", routers.into_iter(), HUBS_PER_HALL);
             (hall.clone(), hubs.into_iter().cloned().collect())
         };
--- a/src/membership/peer.rs
+++ b/src/membership/peer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{
-    datagram::{CapacityClass, Datagram, Stamp},
+    datagram::{Datagram, Stamp, Strength},
     heartbeats::VmHash,
     records::MemberRecord,
 };
@@ -34,7 +34,7 @@
 pub(super) struct Peer {
     pub(super) address: SocketAddr,
     pub(super) hall: DataHall,
-    pub(super) capacity: CapacityClass,
+    pub(super) capacity: Strength,
     pub(super) hash: VmHash,
     /// When its last datagram arrived; before the first one, when others last received a heartbeat
     /// of it.
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -12,7 +12,7 @@
 pub use super::peer::{Member, MemberState, Receiver};
 
 use super::{
-    datagram::{CapacityClass, Datagram},
+    datagram::{Datagram, Strength},
     heartbeats::{KnownDigest, VmHash},
     hubs::{HubTable, MIN_LARGE_FLEET},
     peer::{Peer, SilenceLimits},
@@ -56,7 +56,7 @@
 pub struct Peers {
     pub(super) me: VmId,
     pub(super) hall: DataHall,
-    pub(super) capacity: CapacityClass,
+    pub(super) capacity: Strength,
     pub(super) incarnation: Incarnation,
     pub(super) own_address: SocketAddr,
     pub(super) by_vm: BTreeMap<VmId, Peer>,
@@ -80,7 +80,7 @@
     pub fn new(
         me: VmId,
         hall: DataHall,
-        capacity: CapacityClass,
+        capacity: Strength,
         incarnation: Incarnation,
         own_address: SocketAddr,
         seeds: &[SocketAddr],
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{
-    datagram::{CapacityClass, Datagram},
+    datagram::{Datagram, Strength},
     heartbeats::VmHash,
     peer::{Peer, Receiver},
     peers::{ADDRESS_TTL, Peers},
@@ -76,7 +76,7 @@
     /// Its data hall.
     pub hall: DataHall,
     /// Its capacity class.
-    pub capacity: CapacityClass,
+    pub capacity: Strength,
     /// Address at which its peers reach it.
     pub address: SocketAddr,
     /// Its incarnation.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -12,7 +12,7 @@
     config::{routes::CallerRules, serving::CallerLimits},
     edge::{GatewayConfig, Rules},
     ids::{DataHall, Region, VmId},
-    membership::{datagram::CapacityClass, readers::FleetStart},
+    membership::{datagram::Strength, readers::FleetStart},
     retry::BudgetRule,
     units::{ByteCount, LoadBound},
 };
@@ -158,10 +158,7 @@
             vm: self.vm.clone(),
             region: Some(self.region.clone()),
             data_hall: self.data_hall.clone(),
-            capacity: CapacityClass::new(
-                VM_LINK_MBPS_AND_CPU_SHARE.0,
-                VM_LINK_MBPS_AND_CPU_SHARE.1,
-            ),
+            strength: Strength::new(VM_LINK_MBPS_AND_CPU_SHARE.0, VM_LINK_MBPS_AND_CPU_SHARE.1),
             callers: self.listen,
             ready: None,
             metrics: self.metrics_listen.0.first().copied(),
@@ -171,13 +168,13 @@
             max_connections: self.concurrency_limit,
             max_calls: self.concurrency_limit,
             start: FleetStart::default(),
-            uses_operator_config: true,
-            caller_rules: CallerRules {
+            own_config: true,
+            callers_rules: CallerRules {
                 limits: self.caller_limits(),
                 chat_timeout: self.request_timeout_ms.duration(),
-                max_silence: self.idle_timeout_ms.duration(),
+                longest_silence: self.idle_timeout_ms.duration(),
             },
-            max_explained_decisions: MAX_EXPLAINED_DECISIONS,
+            explain_kept: MAX_EXPLAINED_DECISIONS,
             rules: Rules {
                 revoke_bound: self.revoke_bound.0.map(Millis::duration),
                 cap_factor: self.load_bound.factor(),
@@ -193,9 +190,9 @@
         CallerLimits {
             header_bytes: self.header_limit.0,
             body_bytes: self.body_limit.0,
-            header_timeout: self.header_timeout_ms.duration(),
-            body_timeout: self.body_timeout_ms.duration(),
-            idle_timeout: self.idle_timeout_ms.duration(),
+            header_time: self.header_timeout_ms.duration(),
+            body_time: self.body_timeout_ms.duration(),
+            idle_time: self.idle_timeout_ms.duration(),
         }
     }
 }
--- a/tests/decisions/routes.rs
+++ b/tests/decisions/routes.rs
@@ -111,7 +111,7 @@
         let rules = CallerRules {
             limits: CallerLimits::default(),
             chat_timeout: Duration::from_secs(300),
-            max_silence: Duration::from_secs(60),
+            longest_silence: Duration::from_secs(60),
         };
         serving_config(&fleet, Revision(4), &rules)
     }
--- a/tests/feeding.rs
+++ b/tests/feeding.rs
@@ -10,7 +10,7 @@
 use scaleford::{
     ids::{Incarnation, VmId},
     membership::{
-        datagram::{CapacityClass, Datagram, Stamp},
+        datagram::{Datagram, Stamp, Strength},
         peers::Peers,
         readers::{FleetStart, NextRead, ReadState},
         records::{Exchange, MemberRecord, RecordState},
@@ -36,10 +36,10 @@
 }
 
 /// Returns the capacity of a VM. One in nineteen is as strong as the users' strong VMs.
-fn capacity_of(n: usize) -> CapacityClass {
+fn capacity_of(n: usize) -> Strength {
     match n % 19 {
-        0 => CapacityClass::new(200.0, 0.5),
-        _ => CapacityClass::new(20.0, 0.12),
+        0 => Strength::new(200.0, 0.5),
+        _ => Strength::new(20.0, 0.12),
     }
 }
 
@@ -159,7 +159,7 @@
     for next in next_reads {
         if let NextRead::Ask(parent) = next {
             let parent_number = (0..985).find(|i| address(*i) == parent).unwrap();
-            assert_eq!(capacity_of(parent_number), CapacityClass::new(200.0, 0.5));
+            assert_eq!(capacity_of(parent_number), Strength::new(200.0, 0.5));
         }
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -12,7 +12,7 @@
 use scaleford::{
     ids::{DataHall, Incarnation, VmId},
     membership::{
-        datagram::{CapacityClass, Datagram, Message, Stamp},
+        datagram::{Datagram, Message, Stamp, Strength},
         heartbeats::HubDigests,
         peers::{DatagramEffect, Peers},
         records::Exchange,
@@ -103,7 +103,7 @@
 
     fn start(&mut self, i: usize, incarnation: u64) {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
-        let capacity = CapacityClass::new(100.0, 0.5);
+        let capacity = Strength::new(100.0, 0.5);
         let hall = self.hall(i);
         let peers = Peers::new(
             vm(i),
@@ -140,7 +140,7 @@
         Datagram {
             vm: vm(i),
             hall,
-            capacity: CapacityClass::new(100.0, 0.5),
+            capacity: Strength::new(100.0, 0.5),
             number: router.number,
             sent: Stamp {
                 incarnation: Incarnation(router.incarnation),
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -6,7 +6,7 @@
 use scaleford::{
     ids::{DataHall, Incarnation, VmId},
     membership::{
-        datagram::{CapacityClass, Datagram, Stamp},
+        datagram::{Datagram, Stamp, Strength},
         peers::{DatagramEffect, Peers},
         readers::{FleetStart, NextRead, ReadState},
         timing::send_interval,
@@ -31,7 +31,7 @@
 }
 
 fn peers(me: usize) -> Peers {
-    let capacity = CapacityClass::new(100.0, 0.5);
+    let capacity = Strength::new(100.0, 0.5);
     Peers::new(vm(me), hall(me), capacity, Incarnation(1), address(me), &[])
 }
 
@@ -39,7 +39,7 @@
     Datagram {
         vm: vm(from),
         hall: hall(from),
-        capacity: CapacityClass::new(100.0, 0.5),
+        capacity: Strength::new(100.0, 0.5),
         number,
         sent: Stamp {
             incarnation: Incarnation(1),
@@ -319,8 +319,8 @@
 fn the_stronger_routers_read_the_store_and_aggregate() {
     let n = 30;
     let capacity = |i: usize| match i % 5 {
-        0 => CapacityClass::new(200.0, 0.5),
-        _ => CapacityClass::new(10.0, 0.12),
+        0 => Strength::new(200.0, 0.5),
+        _ => Strength::new(10.0, 0.12),
     };
     let fleet: Vec<Peers> = (0..n)
         .map(|me| {
